--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -54,8 +54,8 @@
           }(),
           [this](const std::vector<discovery::Instance>& instances) { listed(instances); }) {
     nodes_.attach(&engine_);
-    engine_.on_end = [this](const core::SessionRecord& r) { ended(r); };
-    engine_.on_remark = [this](const std::string& text) {
+    engine_.on_session_record = [this](const core::SessionRecord& r) { ended(r); };
+    engine_.on_director_log = [this](const std::string& text) {
         log_.write(log::Level::info, loop_.wall_ms(), "module", {{"text", text}});
     };
     nodes_.on_remark = [this](const std::string& text) {
@@ -68,8 +68,8 @@
 // Players and nodes hear of the end by their connections. Nothing is reported from here on: parts that would
 // be told go one after the other.
 DirectorProcess::~DirectorProcess() {
-    engine_.on_end = nullptr;
-    engine_.on_remark = nullptr;
+    engine_.on_session_record = nullptr;
+    engine_.on_director_log = nullptr;
     nodes_.on_remark = nullptr;
 }
 
@@ -83,7 +83,7 @@
     }
     listed_ = instances.size();
     nodes_.know(addresses);
-    engine_.take_list(list);
+    engine_.update_server_list(list);
     log_.write(log::Level::info, loop_.wall_ms(), "list", {{"nodes", instances.size()}});
 }
 
@@ -95,10 +95,10 @@
     const Settings& s = config_.settings;
     json line = session_line(r, name);
     line["session"] = r.id;
-    line["sid"] = r.ask.sid;
-    line["tenant"] = s.tenants[static_cast<std::size_t>(r.ask.tenant)].name;
-    line["class"] = s.classes[static_cast<std::size_t>(r.ask.cls)].name;
-    line["title"] = r.ask.title_name;
+    line["sid"] = r.request.sid;
+    line["tenant"] = s.tenants[static_cast<std::size_t>(r.request.tenant)].name;
+    line["class"] = s.classes[static_cast<std::size_t>(r.request.cls)].name;
+    line["title"] = r.request.title_name;
     line["asked"] = 1 + r.joined_requests;
     log_.write(log::Level::info, loop_.wall_ms(), "session", line);
 }
@@ -111,24 +111,24 @@
     stop_listening_at_ = loop_.now() + kTakeFor;
     leave_at_ = stop_listening_at_ + longest + config_.settings.answer_slack + kLastAnswers;
     front_.drain();
-    log_.write(log::Level::info, loop_.wall_ms(), "stopping", {{"owed", engine_.owed()}});
+    log_.write(log::Level::info, loop_.wall_ms(), "stopping", {{"owed", engine_.unanswered_sessions()}});
     stopping();
 }
 
 void DirectorProcess::stopping() {
     const bool takes = loop_.now() < stop_listening_at_;
     if (!takes) front_.stop_listening();
-    const bool idle = engine_.owed() == 0 && front_.connections() == 0;
+    const bool idle = engine_.unanswered_sessions() == 0 && front_.connections() == 0;
     if ((takes || !idle) && loop_.now() < leave_at_) {
         stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
         return;
     }
-    log_.write(log::Level::info, loop_.wall_ms(), "stopped", {{"owed", engine_.owed()}});
+    log_.write(log::Level::info, loop_.wall_ms(), "stopped", {{"owed", engine_.unanswered_sessions()}});
     loop_.post([this] { done_(); });
 }
 
 std::string DirectorProcess::status() const {
-    const core::Counts& c = engine_.counts();
+    const core::EngineCounts& c = engine_.counts();
     const fronts::FrontCounts& f = front_.counts();
     const discovery::ConsulCounts& d = consul_.counts();
     const nodes::LinkCounts& n = nodes_.counts();
@@ -136,22 +136,22 @@
     for (const auto& [state, count] : nodes_.streams()) streams[nodes::name(state)] = count;
     return json{{"name", config_.name},
                 {"sessions",
-                 {{"taken", c.taken},
+                 {{"taken", c.accepted},
                   {"joined", c.joined},
-                  {"played", c.played},
-                  {"refused", c.refused},
+                  {"played", c.established},
+                  {"refused", c.rejected},
                   {"failed", c.failed},
                   {"abandoned", c.abandoned},
-                  {"late", c.late},
-                  {"slips", c.slips},
-                  {"taken_back", c.taken_back},
-                  {"not_taken_back", c.not_taken_back},
+                  {"late", c.missed_deadlines},
+                  {"slips", c.invariant_violations},
+                  {"taken_back", c.reclaimed},
+                  {"not_taken_back", c.not_reclaimed},
                   {"attempts", c.attempts},
                   {"retried", c.retries},
                   {"ended", c.ended},
                   {"lost", c.reset},
                   {"open", engine_.open_sessions()},
-                  {"playing", engine_.playing()}}},
+                  {"playing", engine_.established_sessions()}}},
                 {"players",
                  {{"requests", f.requests},
                   {"bad", f.bad},
--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -44,7 +44,7 @@
           loop, config.listen, config.settings, {config.classes, config.tenants},
           [&] {
               fronts::RelayFrontLimits limits;
-              limits.intake.connections = config.sockets * 2 / 5;
+              limits.intake.max_connections = config.sockets * 2 / 5;
               return limits;
           }(),
           engine_),
@@ -54,14 +54,16 @@
       members_(config.members) {
     nodes_.attach(&engine_);
     know();
-    engine_.on_end = [this](const core::SessionRecord& r) { ended(r); };
-    engine_.on_remark = [this](const std::string& text) {
+    engine_.on_session_record = [this](const core::SessionRecord& r) { ended(r); };
+    engine_.on_director_log = [this](const std::string& text) {
         remark(log::Level::info, "module", {{"text", text}});
     };
-    engine_.on_slip = [this](const std::string& history) {
+    engine_.on_invariant_violation = [this](const std::string& history) {
         remark(log::Level::error, "broken invariant", {{"history", history}});
     };
-    engine_.on_gone = [this](SessionId id, bool owed, bool moved) { front_.gone(id, owed, moved); };
+    engine_.on_session_terminated = [this](SessionId id, bool owed, bool moved) {
+        front_.gone(id, owed, moved);
+    };
     nodes_.on_remark = [this](const std::string& text) {
         remark(log::Level::warning, "nodes", {{"text", text}});
     };
@@ -69,9 +71,9 @@
         if (!members_.count(uid)) return std::nullopt;
         return server_of(uid);
     };
-    front_.adopt = [this](const core::Ask& ask, ServerId server) {
-        if (!engine_.adopt(ask, server)) return false;
-        nodes_.adopt(server, *ask.number, 0);
+    front_.adopt = [this](const core::ViewerRequest& ask, ServerId server) {
+        if (!engine_.adopt_session(ask, server)) return false;
+        nodes_.adopt(server, *ask.preassigned_id, 0);
         return true;
     };
     front_.on_bad = [this](const std::string& why, const relay::ViewerMessage& m) {
@@ -95,10 +97,10 @@
     status_timer_ = loop_.after(kStatusEvery, [this] { tell_status(); });
 }
 RelayProcess::~RelayProcess() {
-    engine_.on_end = nullptr;
-    engine_.on_remark = nullptr;
-    engine_.on_slip = nullptr;
-    engine_.on_gone = nullptr;
+    engine_.on_session_record = nullptr;
+    engine_.on_director_log = nullptr;
+    engine_.on_invariant_violation = nullptr;
+    engine_.on_session_terminated = nullptr;
     front_.on_closed = nullptr;
     nodes_.on_remark = nullptr;
 }
@@ -114,7 +116,7 @@
     ServerList list;
     list.kind = ListKind::saved;
     for (const auto& [uid, member] : members_) list.entries.push_back(entry_of(member));
-    engine_.take_list(list);
+    engine_.update_server_list(list);
 }
 
 ServerEntry RelayProcess::entry_of(const discovery::Member& m) const {
@@ -168,7 +170,7 @@
     }
     members_ = all;
     know();
-    if (began_ && !changes.entries.empty()) engine_.take_list(changes);
+    if (began_ && !changes.entries.empty()) engine_.update_server_list(changes);
     remark(log::Level::info, "list", {{"nodes", all.size()}, {"changed", changes.entries.size()}});
 }
 
@@ -179,7 +181,7 @@
     ServerList list;
     list.kind = ListKind::full;
     for (const auto& [uid, member] : members_) list.entries.push_back(entry_of(member));
-    engine_.take_list(list);
+    engine_.update_server_list(list);
 }
 
 void RelayProcess::reload(const config::RelayConfig& config) {
@@ -192,16 +194,16 @@
     if (shutdown_) return;
     done_ = std::move(done);
     shutdown_.emplace(config_.settings, loop_.now());
-    engine_.answer_by(shutdown_->answer_by());
+    engine_.set_answer_deadline(shutdown_->answer_deadline());
     front_.begin_shutdown(*shutdown_);
-    remark(log::Level::info, "stopping", {{"owed", engine_.owed()}});
+    remark(log::Level::info, "stopping", {{"owed", engine_.unanswered_sessions()}});
     stopping();
 }
 void RelayProcess::stopping() {
     front_.end_drained_connections();
-    const decide::Unfinished left{engine_.owed(), !front_.drained() || !nodes_.drained(),
-                                  front_.connections(), front_.heard_at()};
-    if (!shutdown_->leaves(loop_.now(), left)) {
+    const decide::PendingWork left{engine_.unanswered_sessions(), !front_.drained() || !nodes_.drained(),
+                                   front_.connections(), front_.heard_at()};
+    if (!shutdown_->should_exit(loop_.now(), left)) {
         stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
         return;
     }
@@ -218,12 +220,12 @@
         return it == names_.end() ? relay::hex(id) : it->second;
     });
     line["id"] = relay::hex(r.id);
-    line["class"] = config_.classes[static_cast<std::size_t>(r.ask.cls)];
+    line["class"] = config_.classes[static_cast<std::size_t>(r.request.cls)];
     remark(log::Level::info, "session", line);
 }
 
 json RelayProcess::status() const {
-    const core::Counts& e = engine_.counts();
+    const core::EngineCounts& e = engine_.counts();
     const fronts::RelayFrontCounts& f = front_.counts();
     const nodes::RelayCounts& n = nodes_.counts();
     const discovery::SrvCounts& d = list_.counts();
@@ -231,19 +233,19 @@
     for (std::size_t k = 0; k < fronts::kCloseReasons; ++k)
         if (f.closed[k] > 0) closed[fronts::name(static_cast<fronts::CloseReason>(k))] = f.closed[k];
     return {{"sessions",
-             {{"taken", e.taken},
-              {"played", e.played},
-              {"refused", e.refused},
+             {{"taken", e.accepted},
+              {"played", e.established},
+              {"refused", e.rejected},
               {"failed", e.failed},
               {"abandoned", e.abandoned},
-              {"late", e.late},
+              {"late", e.missed_deadlines},
               {"attempts", e.attempts},
               {"retried", e.retries},
               {"lost", e.reset},
-              {"slips", e.slips},
+              {"slips", e.invariant_violations},
               {"ends_crossing_answers", e.ends_crossing_answers},
               {"open", engine_.open_sessions()},
-              {"playing", engine_.playing()}}},
+              {"playing", engine_.established_sessions()}}},
             {"viewers",
              {{"connections", front_.connections()},
               {"set_ups", f.set_ups},
--- a/src/cli/relay.hpp
+++ b/src/cli/relay.hpp
@@ -54,7 +54,7 @@
     io::Time confirmed_ = 0;
     int bad_told_ = 0;
     std::function<void()> done_;
-    std::optional<decide::Shutdown> shutdown_;
+    std::optional<decide::GracefulShutdown> shutdown_;
     io::Timer stop_timer_, status_timer_;
 };
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -6,18 +6,20 @@
 #include <algorithm>
 
 #include "core/outcomes.hpp"
-#include "decide/claims.hpp"
-#include "decide/endings.hpp"
+#include "decide/reclaim.hpp"
+#include "decide/session_end.hpp"
 
 namespace ivyfield::core {
 
-TitleId title_id(const std::string& title_name) { return XXH64(title_name.data(), title_name.size(), 0); }
+TitleId compute_title_id(const std::string& title_name) {
+    return XXH64(title_name.data(), title_name.size(), 0);
+}
 
 const char* name(Answer answer) {
     switch (answer) {
-        case Answer::plays:
+        case Answer::established:
             return "plays";
-        case Answer::refused:
+        case Answer::rejected:
             return "refused";
         case Answer::failed:
             return "failed";
@@ -57,14 +59,14 @@
     int rung = 0, rung_sent = 0;
     int attempt = -1;  // the one out or playing
     Media media;
-    std::vector<Waiter*> waiters;
+    std::vector<AnswerHandler*> waiters;
     io::Timer deadline, expiry;
     Time sent = 0;  // its last attempt
     std::deque<std::string> history;
 };
 
-Engine::Engine(io::Loop& loop, const Settings& settings, std::uint64_t seed, NodePort& nodes, ListPort* list,
-               const EngineLimits& limits)
+Engine::Engine(io::Loop& loop, const Settings& settings, std::uint64_t seed, NodePort& nodes,
+               ServerListPort* list, const EngineLimits& limits)
     : loop_(loop),
       settings_(settings),
       nodes_(nodes),
@@ -80,20 +82,20 @@
 // ---- Slips and history ----
 
 void Engine::remark(Session& s, std::string what) {
-    if (s.history.size() >= limits_.history) s.history.pop_front();
-    s.history.push_back(std::to_string(loop_.now() - s.record.taken) + " ms: " + std::move(what));
+    if (s.history.size() >= limits_.max_history_entries) s.history.pop_front();
+    s.history.push_back(std::to_string(loop_.now() - s.record.received_at) + " ms: " + std::move(what));
 }
 void Engine::slip(const Session& s, const std::string& what) const {
     std::string text =
-        "session " + std::to_string(s.record.id) + " (sid \"" + s.record.ask.sid + "\"): " + what;
+        "session " + std::to_string(s.record.id) + " (sid \"" + s.record.request.sid + "\"): " + what;
     for (const std::string& line : s.history) text += "\n  " + line;
-    throw Slip(s.record.id, text);
+    throw InvariantViolation(s.record.id, text);
 }
 Engine::Session& Engine::known(SessionId id, const char* action) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end())
-        throw Slip(id, std::string("the module's ") + action + " names session " + std::to_string(id) +
-                           ", which is not open");
+        throw InvariantViolation(id, std::string("the module's ") + action + " names session " +
+                                         std::to_string(id) + ", which is not open");
     return *it->second;
 }
 
@@ -102,15 +104,15 @@
 void Engine::contain_slips(const Step& step) {
     try {
         step();
-    } catch (const Slip& slip) {
-        if (limits_.raise_slips) throw;
+    } catch (const InvariantViolation& slip) {
+        if (limits_.throw_on_violation) throw;
         contain(slip);
     }
 }
 
-void Engine::contain(const Slip& slip) {
-    counts_.slips += 1;
-    if (on_slip) on_slip(slip.what());
+void Engine::contain(const InvariantViolation& slip) {
+    counts_.invariant_violations += 1;
+    if (on_invariant_violation) on_invariant_violation(slip.what());
     fail_broken(slip.session());
 }
 
@@ -119,7 +121,7 @@
     const auto it = sessions_.find(id);
     if (it == sessions_.end()) return;
     Session& s = *it->second;
-    const bool established = s.record.answered && s.record.answer == Answer::plays;
+    const bool established = s.record.answered && s.record.answer == Answer::established;
     if (!s.record.answered) answer(s, Answer::failed);
     s.expiry.stop();
     AttemptOver over;
@@ -128,13 +130,13 @@
     over.outcome = Outcome::cancelled;
     over.session_over = true;
     if (s.attempt >= 0) {
-        over.server = s.record.tries.back().server;
-        s.record.tries.back().end = name(Outcome::cancelled);
+        over.server = s.record.attempt_records.back().server;
+        s.record.attempt_records.back().outcome = name(Outcome::cancelled);
         seat(s, -1);
         if (s.state == State::playing) playing_ -= 1;
         nodes_.cancel(over.server, id, s.attempt);
     }
-    if (established && on_gone) on_gone(id, !s.hung_up && !s.moving, false);
+    if (established && on_session_terminated) on_session_terminated(id, !s.hung_up && !s.moving, false);
     finish(id, "director");
     if (over.attempt >= 0) feed(over);
     else feed(SessionAbandoned{id});
@@ -143,13 +145,13 @@
 // ---- Requests ----
 
 // Fields are cut with a byte that a sid cannot hold, so that no two asks share a key by accident.
-std::string Engine::key(const Ask& ask) const {
-    if (ask.number) return std::to_string(*ask.number);
+std::string Engine::key(const ViewerRequest& ask) const {
+    if (ask.preassigned_id) return std::to_string(*ask.preassigned_id);
     return ask.sid + '\n' + std::to_string(ask.tenant) + '\n' + std::to_string(ask.cls) + '\n' +
            ask.title_name;
 }
 
-SessionId Engine::open(const Ask& ask, Waiter* waiter) {
+SessionId Engine::open_session(const ViewerRequest& ask, AnswerHandler* waiter) {
     const std::string k = key(ask);
     if (const auto it = by_key_.find(k); it != by_key_.end()) {
         Session& s = *sessions_.at(it->second);
@@ -157,22 +159,22 @@
         counts_.joined += 1;
         remark(s, "asked again");
         if (s.state == State::playing) {
-            waiter->plays({s.record.id, s.attempt, s.record.server, s.rung, s.media});
+            waiter->on_established({s.record.id, s.attempt, s.record.server, s.rung, s.media});
         } else {
             s.waiters.push_back(waiter);
         }
         return s.record.id;
     }
-    const SessionId id = ask.number.value_or(last_id_ + 1);
-    if (!ask.number) last_id_ = id;
+    const SessionId id = ask.preassigned_id.value_or(last_id_ + 1);
+    if (!ask.preassigned_id) last_id_ = id;
     auto owned = std::make_unique<Session>();
     Session& s = *owned;
     s.record.id = id;
-    s.record.ask = ask;
-    s.record.taken = loop_.now();
+    s.record.request = ask;
+    s.record.received_at = loop_.now();
     const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(ask.cls));
-    s.record.deadline = std::min(ask.number ? ask.deadline : loop_.now() + cls.patience, answer_by_);
-    s.record.returning = ask.again;
+    s.record.deadline = std::min(ask.preassigned_id ? ask.deadline : loop_.now() + cls.patience, answer_by_);
+    s.record.returning = ask.returning;
     s.rung = cls.floor;
     s.waiters.push_back(waiter);
     if (const auto it = remembered_.find(k); it != remembered_.end() && it->second.until > loop_.now()) {
@@ -180,7 +182,7 @@
         s.record.moved = it->second.moved;
     }
     remark(s, "taken");
-    counts_.taken += 1;
+    counts_.accepted += 1;
     owed_ += 1;
     sessions_.emplace(id, std::move(owned));
     by_key_.emplace(k, id);
@@ -190,7 +192,7 @@
     return id;
 }
 
-void Engine::answer_by(Time last) {
+void Engine::set_answer_deadline(Time last) {
     answer_by_ = std::min(answer_by_, last);
     for (const auto& [id, s] : sessions_) {
         if (s->record.answered || s->record.deadline <= answer_by_) continue;
@@ -199,12 +201,12 @@
 }
 
 SessionRequest Engine::request_of(const Session& s) const {
-    const Ask& ask = s.record.ask;
+    const ViewerRequest& ask = s.record.request;
     SessionRequest request;
     request.id = s.record.id;
     request.cls = ask.cls;
     request.tenant = ask.tenant;
-    request.viewer = ask.number ? ask.viewer : XXH64(ask.sid.data(), ask.sid.size(), 0);
+    request.viewer = ask.preassigned_id ? ask.viewer : XXH64(ask.sid.data(), ask.sid.size(), 0);
     request.title = ask.title;
     request.deadline = s.record.deadline;
     request.first_cell = ask.first_cell;
@@ -215,7 +217,7 @@
     return request;
 }
 
-void Engine::leave(SessionId id, Waiter* waiter) {
+void Engine::withdraw_request(SessionId id, AnswerHandler* waiter) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end()) return;
     Session& s = *it->second;
@@ -234,11 +236,11 @@
 void Engine::nobody_waits(SessionId id) {
     feed(SessionAbandoned{id});
     // Where its node can be told, it is: the set-up is of no use to anyone now.
-    if (!nodes_.cancel_is_final()) return;
+    if (!nodes_.is_cancel_final()) return;
     const auto still = sessions_.find(id);
     if (still == sessions_.end() || still->second->state != State::left) return;
     Session& out = *still->second;
-    nodes_.cancel(out.record.tries.back().server, id, out.attempt);
+    nodes_.cancel(out.record.attempt_records.back().server, id, out.attempt);
     attempt_over(out, Outcome::cancelled, {}, false);
 }
 
@@ -247,7 +249,7 @@
 void Engine::deadline_passed(SessionId id) {
     Session& s = *sessions_.at(id);
     if (s.record.answered) return;
-    counts_.late += 1;
+    counts_.missed_deadlines += 1;
     remark(s, "time is up, unanswered");
     answer(s, Answer::failed);
     if (s.state == State::held) finish(id, "director");
@@ -264,11 +266,11 @@
     s.deadline.stop();
     remark(s, std::string("answered: ") + name(answer));
     switch (answer) {
-        case Answer::plays:
-            counts_.played += 1;
+        case Answer::established:
+            counts_.established += 1;
             break;
-        case Answer::refused:
-            counts_.refused += 1;
+        case Answer::rejected:
+            counts_.rejected += 1;
             break;
         case Answer::failed:
             counts_.failed += 1;
@@ -281,25 +283,25 @@
     s.waiters.clear();
     const Placement where{s.record.id, s.attempt, s.record.server, s.rung, s.media};
     const Time retry_after = s.record.retry_after;
-    for (Waiter* waiter : waiters) {
-        if (answer == Answer::plays) waiter->plays(where);
-        else if (answer == Answer::refused) waiter->refused(retry_after);
-        else if (answer == Answer::failed) waiter->failed();
+    for (AnswerHandler* waiter : waiters) {
+        if (answer == Answer::established) waiter->on_established(where);
+        else if (answer == Answer::rejected) waiter->on_rejected(retry_after);
+        else if (answer == Answer::failed) waiter->on_failed();
     }
 }
 
 void Engine::remember(const Session& s) {
-    if (s.record.ask.number) return;  // its viewer says itself that it comes again
-    const std::string k = key(s.record.ask);
+    if (s.record.request.preassigned_id) return;  // its viewer says itself that it comes again
+    const std::string k = key(s.record.request);
     const Time now = loop_.now();
-    while (!remembered_order_.empty() &&
-           (remembered_order_.front().first <= now || remembered_order_.size() >= limits_.remembered)) {
+    while (!remembered_order_.empty() && (remembered_order_.front().first <= now ||
+                                          remembered_order_.size() >= limits_.max_remembered_sids)) {
         const auto it = remembered_.find(remembered_order_.front().second);
         if (it != remembered_.end() && it->second.until <= remembered_order_.front().first)
             remembered_.erase(it);
         remembered_order_.pop_front();
     }
-    const Time until = now + limits_.remembered_for;
+    const Time until = now + limits_.sid_retention;
     remembered_[k] = {until, s.moving};
     remembered_order_.emplace_back(until, k);
 }
@@ -310,35 +312,36 @@
     sessions_.erase(it);
     Session& s = *owned;
     if (!s.record.answered) slip(s, "ends unanswered");
-    by_key_.erase(key(s.record.ask));
+    by_key_.erase(key(s.record.request));
     remember(s);
-    s.record.ended = loop_.now();
+    s.record.ended_at = loop_.now();
     s.record.ended_by = by;
     s.record.rung = s.rung;
     counts_.ended += 1;
-    if (on_end) on_end(s.record);
+    if (on_session_record) on_session_record(s.record);
 }
 
-void Engine::take_list(const ServerList& list) {
+void Engine::update_server_list(const ServerList& list) {
     if (list.kind == ListKind::full || list.kind == ListKind::saved) listed_.clear();
     for (const ServerEntry& entry : list.entries)
         if (list.kind != ListKind::failed) listed_[entry.id] = entry;
     feed(list);
 }
-Engine::Session& Engine::take_over(SessionId id, const Ask& ask, ServerId server, int attempt, int rung) {
+Engine::Session& Engine::take_over(SessionId id, const ViewerRequest& ask, ServerId server, int attempt,
+                                   int rung) {
     auto owned = std::make_unique<Session>();
     Session& s = *owned;
     s.record.id = id;
-    s.record.ask = ask;
-    s.record.taken = s.record.answered_at = loop_.now();
+    s.record.request = ask;
+    s.record.received_at = s.record.answered_at = loop_.now();
     s.record.answered = true;
-    s.record.answer = Answer::plays;
-    s.record.taken_back = true;
-    s.record.returning = ask.again;
-    s.record.deadline = ask.number ? ask.deadline : 0;
+    s.record.answer = Answer::established;
+    s.record.reclaimed = true;
+    s.record.returning = ask.returning;
+    s.record.deadline = ask.preassigned_id ? ask.deadline : 0;
     s.record.attempts = attempt + 1;
     s.record.server = server;
-    s.record.tries.push_back({server});
+    s.record.attempt_records.push_back({server});
     s.state = State::playing;
     s.rung = s.rung_sent = rung;
     s.attempt = attempt;
@@ -350,11 +353,11 @@
 }
 
 // As the simulator hands one over: as attempt 0, at its class's floor until the node tells its rung.
-bool Engine::adopt(const Ask& ask, ServerId server) {
-    if (sessions_.count(*ask.number)) return false;
-    counts_.taken_back += 1;
+bool Engine::adopt_session(const ViewerRequest& ask, ServerId server) {
+    if (sessions_.count(*ask.preassigned_id)) return false;
+    counts_.reclaimed += 1;
     const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(ask.cls));
-    Session& s = take_over(*ask.number, ask, server, 0, cls.floor);
+    Session& s = take_over(*ask.preassigned_id, ask, server, 0, cls.floor);
     SessionAdopted as;
     as.request = request_of(s);
     as.server = server;
@@ -362,7 +365,7 @@
     return true;
 }
 
-bool Engine::hang_up(SessionId id) {
+bool Engine::terminate_by_viewer(SessionId id) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end() || it->second->state != State::playing) return false;
     Session& s = *it->second;
@@ -372,19 +375,19 @@
     return true;
 }
 
-bool Engine::found(const FoundPlaying& one) {
-    const Ask& ask = one.ask;
+bool Engine::reclaim_session(const OrphanedSession& one) {
+    const ViewerRequest& ask = one.request;
     const std::string k = key(ask);
-    decide::Found f;
+    decide::ReclaimCandidate f;
     f.cls = ask.cls, f.tenant = ask.tenant, f.rung = one.rung;
-    f.own_life = one.session >> 32 == first_id_ >> 32 || sessions_.count(one.session) != 0;
-    f.asked_again = by_key_.count(k) != 0;
-    if (const auto it = held_.find({ask.title, ask.cls}); it != held_.end()) f.held = it->second;
-    if (decide::claim(settings_, f) != decide::Claim::take) {
-        counts_.not_taken_back += 1;
+    f.from_this_incarnation = one.session >> 32 == first_id_ >> 32 || sessions_.count(one.session) != 0;
+    f.superseded = by_key_.count(k) != 0;
+    if (const auto it = held_.find({ask.title, ask.cls}); it != held_.end()) f.held_sessions = it->second;
+    if (decide::evaluate_reclaim(settings_, f) != decide::ReclaimVerdict::reclaim) {
+        counts_.not_reclaimed += 1;
         return false;
     }
-    counts_.taken_back += 1;
+    counts_.reclaimed += 1;
     Session& s = take_over(one.session, ask, one.server, one.attempt, one.rung);
     s.media = one.media;
     by_key_.emplace(k, one.session);
@@ -398,7 +401,7 @@
 
 // The list knows of a start seconds late, and of a process that died and came back between two looks not at
 // all; the node itself tells at once.
-void Engine::life(ServerId server, Time started) {
+void Engine::on_node_incarnation(ServerId server, Time started) {
     const auto it = listed_.find(server);
     if (it == listed_.end() || it->second.state == ServerState::gone || started <= it->second.last_start)
         return;
@@ -408,7 +411,7 @@
 
 // ---- What nodes tell ----
 
-void Engine::started(SessionId id, int attempt, const Media& media) {
+void Engine::on_attempt_started(SessionId id, int attempt, const Media& media) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end() || it->second->attempt != attempt) return;  // its end came first
     contain_slips([&] { attempt_started(*it->second, media); });
@@ -421,7 +424,7 @@
     remark(s, "started");
     s.expiry.stop();
     s.media = media;
-    s.record.server = s.record.tries.back().server;
+    s.record.server = s.record.attempt_records.back().server;
     const bool wanted = s.state == State::out;
     s.state = State::playing;
     playing_ += 1;
@@ -430,28 +433,29 @@
         s.rung_sent = s.rung;
         nodes_.set_rung(s.record.server, id, attempt, s.rung);
     }
-    if (wanted) answer(s, Answer::plays);
+    if (wanted) answer(s, Answer::established);
     const ServerId server = s.record.server;
     feed(SessionStarted{id, attempt, server, waited});
     // Nobody is there to end a session whose viewer has left and whose protocol gives it no other holder.
-    if (!wanted && nodes_.cancel_is_final()) nodes_.cancel(server, id, attempt);
+    if (!wanted && nodes_.is_cancel_final()) nodes_.cancel(server, id, attempt);
 }
 
-void Engine::over(SessionId id, int attempt, Outcome outcome, const LoadReport& report) {
+void Engine::on_attempt_ended(SessionId id, int attempt, Outcome outcome, const LoadReport& report) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end() || it->second->attempt != attempt) return;  // timed out before: told already
     contain_slips([&] { attempt_over(*it->second, outcome, report, false); });
 }
-void Engine::lost(SessionId id, int attempt, Outcome outcome) {
+void Engine::on_attempt_lost(SessionId id, int attempt, Outcome outcome) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end() || it->second->attempt != attempt) return;  // given up before
-    contain_slips([&] { attempt_over(*it->second, outcome, {}, !nodes_.cancel_is_final()); });
+    contain_slips([&] { attempt_over(*it->second, outcome, {}, !nodes_.is_cancel_final()); });
 }
 
 // The module counts the attempt on, before it hears that it is over for its session: in between the place
 // would be free.
 void Engine::keep_counting(const Session& s) {
-    const Doubt doubt{++last_id_, s.record.tries.back().server, {s.record.ask.title, s.record.ask.cls}};
+    const Doubt doubt{
+        ++last_id_, s.record.attempt_records.back().server, {s.record.request.title, s.record.request.cls}};
     if (!doubts_.emplace(std::make_pair(s.record.id, s.attempt), doubt).second)
         slip(s, "its attempt is doubtful twice");
     SessionAdopted as;
@@ -463,10 +467,10 @@
     feed(SessionAbandoned{doubt.id});
 }
 void Engine::seat(const Session& s, int by) {
-    const std::pair<TitleId, int> key{s.record.ask.title, s.record.ask.cls};
+    const std::pair<TitleId, int> key{s.record.request.title, s.record.request.cls};
     if ((held_[key] += by) == 0) held_.erase(key);
 }
-void Engine::released(SessionId session, int attempt) {
+void Engine::on_attempt_released(SessionId session, int attempt) {
     const auto it = doubts_.find({session, attempt});
     if (it == doubts_.end()) return;
     AttemptOver e;
@@ -487,13 +491,13 @@
     AttemptOver e;
     e.id = id;
     e.attempt = s.attempt;
-    e.server = s.record.tries.back().server;
+    e.server = s.record.attempt_records.back().server;
     e.outcome = outcome;
     e.waited = loop_.now() - s.sent;
     e.session_over = s.record.answered;
     e.report = report;
-    s.record.tries.back().end = name(outcome);
-    s.record.tries.back().waited = e.waited;
+    s.record.attempt_records.back().outcome = name(outcome);
+    s.record.attempt_records.back().elapsed = e.waited;
     s.expiry.stop();
     s.attempt = -1;
     s.may_have_run = s.may_have_run || !proves_never_ran(outcome);
@@ -502,14 +506,14 @@
         playing_ -= 1;
         counts_.reset += outcome == Outcome::reset;
         const bool by_client = outcome == Outcome::cancelled && !s.hung_up && !s.moving;
-        if (by_client && !s.record.taken_back && s.record.answer == Answer::plays &&
-            decide::may_have_crossed(loop_.now() - s.record.answered_at)) {
+        if (by_client && !s.record.reclaimed && s.record.answer == Answer::established &&
+            decide::can_have_crossed(loop_.now() - s.record.answered_at)) {
             s.record.end_crossed_answer = true;
             counts_.ends_crossing_answers += 1;
         }
-        const bool told = s.record.answer == Answer::plays;
-        const bool owed = decide::owes_release({outcome, told, s.hung_up, s.moving});
-        if (on_gone) on_gone(id, owed, false);
+        const bool told = s.record.answer == Answer::established;
+        const bool owed = decide::must_notify_viewer({outcome, told, s.hung_up, s.moving});
+        if (on_session_terminated) on_session_terminated(id, owed, false);
     }
     if (s.record.answered)
         finish(id, s.moving ? "director" : s.hung_up || was != State::playing ? "player" : "node");
@@ -517,10 +521,10 @@
     feed(e);
 }
 
-void Engine::note(SessionId session, int attempt, ServerId server, NoteKind kind, double value) {
+void Engine::on_session_note(SessionId session, int attempt, ServerId server, NoteKind kind, double value) {
     feed(SessionNote{session, attempt, server, kind, value});
 }
-void Engine::probed(ServerId server, Outcome outcome, Time waited, const LoadReport& report) {
+void Engine::on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) {
     feed(ProbeAnswered{server, outcome, waited, report});
 }
 
@@ -549,7 +553,7 @@
     Session& s = known(a.id, "Send");
     if (s.record.answered) slip(s, "sent after its answer");
     if (s.attempt >= 0) slip(s, "sent while an attempt is out");
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.ask.cls)];
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.request.cls)];
     if (s.may_have_run && cls.repeat == Repeat::paid)
         slip(s, "a paid set-up is sent again, though an earlier attempt may have run");
     const Time expires = a.expires > 0 ? std::min(a.expires, s.record.deadline) : s.record.deadline;
@@ -557,23 +561,23 @@
     seat(s, 1);
     s.state = State::out;
     s.sent = loop_.now();
-    s.record.tries.push_back({a.server});
+    s.record.attempt_records.push_back({a.server});
     s.rung_sent = s.rung;
     counts_.attempts += 1;
-    if (s.attempt == 0) s.record.first_sent = loop_.now();
+    if (s.attempt == 0) s.record.first_sent_at = loop_.now();
     else counts_.retries += 1;
     remark(s, "sent to server " + std::to_string(a.server) + " at rung " + std::to_string(s.rung));
     const SessionId id = a.id;
     const int attempt = s.attempt;
     if (expires <= loop_.now() || s.record.attempts > std::max(1, settings_.max_attempts)) {
-        loop_.post([this, id, attempt] { over(id, attempt, Outcome::not_sent, {}); });
+        loop_.post([this, id, attempt] { on_attempt_ended(id, attempt, Outcome::not_sent, {}); });
         return;
     }
     s.expiry = loop_.at(expires, [this, id, attempt, server = a.server] {
         nodes_.cancel(server, id, attempt);  // its work is of no use to anyone now
-        lost(id, attempt, Outcome::timed_out);
+        on_attempt_lost(id, attempt, Outcome::timed_out);
     });
-    nodes_.set_up({id, attempt, a.server, s.rung, expires, s.record.ask, cls.repeat == Repeat::paid});
+    nodes_.set_up({id, attempt, a.server, s.rung, expires, s.record.request, cls.repeat == Repeat::paid});
 }
 
 void Engine::carry(const Refuse& a) {
@@ -581,12 +585,12 @@
     if (it == sessions_.end()) return;  // left a moment ago: its event was on the way
     Session& s = *it->second;
     if (s.record.answered) return;
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.ask.cls)];
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.request.cls)];
     if (s.attempt >= 0) slip(s, "refused while an attempt is out");
     if (s.may_have_run && cls.repeat == Repeat::paid)
         slip(s, "a paid set-up is refused, though an earlier attempt may have run");
     s.record.retry_after = a.retry_after;
-    answer(s, Answer::refused);
+    answer(s, Answer::rejected);
     finish(a.id, "director");
 }
 void Engine::carry(const Fail& a) {
@@ -604,20 +608,21 @@
     remark(s, "called off");
     // Told from the loop, and before the port can tell that it is released.
     if (s.state == State::out || s.state == State::left)
-        loop_.post([this, id = a.id, attempt = a.attempt] { lost(id, attempt, Outcome::cancelled); });
-    nodes_.cancel(s.record.tries.back().server, a.id, a.attempt);
+        loop_.post(
+            [this, id = a.id, attempt = a.attempt] { on_attempt_lost(id, attempt, Outcome::cancelled); });
+    nodes_.cancel(s.record.attempt_records.back().server, a.id, a.attempt);
 }
 void Engine::carry(const SetRung& a) {
     const auto it = sessions_.find(a.id);
     if (it == sessions_.end()) return;
     Session& s = *it->second;
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.ask.cls)];
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.request.cls)];
     if (a.rung < cls.floor || a.rung >= static_cast<int>(settings_.rung_kb.size()))
         slip(s, "rung " + std::to_string(a.rung) + " is under the class's floor or not on the ladder");
     s.rung = a.rung;
     if (s.state != State::playing || s.rung_sent == s.rung) return;
     s.rung_sent = s.rung;
-    s.record.rungs_set += 1;
+    s.record.rung_changes += 1;
     remark(s, "rung " + std::to_string(a.rung));
     nodes_.set_rung(s.record.server, a.id, s.attempt, s.rung);
 }
@@ -626,7 +631,7 @@
     if (s.state != State::playing) slip(s, "moved, though it does not play");
     s.moving = true;
     remark(s, "moved");
-    if (on_gone) on_gone(a.id, true, true);
+    if (on_session_terminated) on_session_terminated(a.id, true, true);
     nodes_.move(s.record.server, a.id, s.attempt);
 }
 void Engine::carry(const Probe& a) { nodes_.probe(a.server); }
@@ -644,7 +649,7 @@
     if (list_) list_->fetch();
 }
 void Engine::carry(const Log& a) {
-    if (on_remark) on_remark(a.text);
+    if (on_director_log) on_director_log(a.text);
 }
 
 }  // namespace ivyfield::core
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -28,9 +28,10 @@
 
 namespace ivyfield::core {
 
-class Slip : public std::logic_error {
+class InvariantViolation : public std::logic_error {
   public:
-    Slip(SessionId session, const std::string& what) : std::logic_error(what), session_(session) {}
+    InvariantViolation(SessionId session, const std::string& what)
+        : std::logic_error(what), session_(session) {}
     SessionId session() const { return session_; }
 
   private:
@@ -38,98 +39,99 @@
 };
 
 #ifdef IVYFIELD_CHECKS
-constexpr bool kRaiseSlips = true;
+constexpr bool kThrowOnViolation = true;
 #else
-constexpr bool kRaiseSlips = false;
+constexpr bool kThrowOnViolation = false;
 #endif
 
 // One attempt: where, how it ended, and how long after its own sending.
-struct Try {
+struct AttemptRecord {
     ServerId server = 0;
-    std::string end = "out";
-    Time waited = 0;
+    std::string outcome = "out";
+    Time elapsed = 0;
 };
 
 // All of one session, for its line in the log when it ends. Times on the loop's clock; 0: never came to it.
 struct SessionRecord {
     SessionId id = 0;
-    Ask ask;
+    ViewerRequest request;
     Answer answer = Answer::abandoned;
     bool answered = false, returning = false, moved = false;
     bool end_crossed_answer = false;  // its client ended it at the node while our answer was on its way
-    bool taken_back =
+    bool reclaimed =
         false;  // set up by an earlier life of this director; its phases begin at the taking back
-    Time taken = 0, first_sent = 0, answered_at = 0, ended = 0, deadline = 0, retry_after = 0;
-    int attempts = 0, rung = 0, rungs_set = 0, joined_requests = 0;
+    Time received_at = 0, first_sent_at = 0, answered_at = 0, ended_at = 0, deadline = 0, retry_after = 0;
+    int attempts = 0, rung = 0, rung_changes = 0, joined_requests = 0;
     ServerId server = 0;
-    std::vector<Try> tries;
+    std::vector<AttemptRecord> attempt_records;
     std::string ended_by;  // "node", "player", "director"
 };
 
-struct Counts {
-    std::uint64_t taken = 0, joined = 0, played = 0, refused = 0, failed = 0, abandoned = 0;
-    std::uint64_t attempts = 0, retries = 0, late = 0, ended = 0, reset = 0;
-    std::uint64_t taken_back = 0, not_taken_back = 0;
+struct EngineCounts {
+    std::uint64_t accepted = 0, joined = 0, established = 0, rejected = 0, failed = 0, abandoned = 0;
+    std::uint64_t attempts = 0, retries = 0, missed_deadlines = 0, ended = 0, reset = 0;
+    std::uint64_t reclaimed = 0, not_reclaimed = 0;
     std::uint64_t ends_crossing_answers = 0;
-    std::uint64_t slips = 0;  // sessions failed for a broken invariant
+    std::uint64_t invariant_violations = 0;  // sessions failed for a broken invariant
 };
 
 struct EngineLimits {
-    std::size_t remembered = 100000;       // sids of ended sessions, to know who returns
-    Time remembered_for = 10 * 60 * 1000;  // and for how long
-    std::size_t history = 32;              // entries of a session's history, the last ones
-    bool raise_slips = kRaiseSlips;        // false: a broken invariant fails its session alone
+    std::size_t max_remembered_sids = 100000;     // sids of ended sessions, to know who returns
+    Time sid_retention = 10 * 60 * 1000;          // and for how long
+    std::size_t max_history_entries = 32;         // entries of a session's history, the last ones
+    bool throw_on_violation = kThrowOnViolation;  // false: a broken invariant fails its session alone
 };
 
 class Engine : public NodeEvents {
   public:
-    Engine(io::Loop& loop, const Settings& settings, std::uint64_t seed, NodePort& nodes, ListPort* list,
-           const EngineLimits& limits = {});
+    Engine(io::Loop& loop, const Settings& settings, std::uint64_t seed, NodePort& nodes,
+           ServerListPort* list, const EngineLimits& limits = {});
     ~Engine() override;
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    std::function<void(const SessionRecord&)> on_end;   // each session, once, when it is over
-    std::function<void(const std::string&)> on_remark;  // the module's own log lines
+    std::function<void(const SessionRecord&)> on_session_record;  // each session, once, when it is over
+    std::function<void(const std::string&)> on_director_log;      // the module's own log lines
 
     // A broken invariant, with its session's history; what it belongs to has failed.
-    std::function<void(const std::string&)> on_slip;
+    std::function<void(const std::string&)> on_invariant_violation;
 
     // A session that stood is over or is moved. `owed`: its viewer is to be told, since it has not ended it
     // itself and has not been told that it is moved.
-    std::function<void(SessionId, bool owed, bool moved)> on_gone;
+    std::function<void(SessionId, bool owed, bool moved)> on_session_terminated;
 
     // A request for a session. The waiter hears its answer, possibly within this call, unless it leaves
     // first. The same sid for the same title joins the session it has: no second set-up, and the same answer.
-    SessionId open(const Ask& ask, Waiter* waiter);
+    SessionId open_session(const ViewerRequest& ask, AnswerHandler* waiter);
     // The waiter's connection is gone; it hears nothing any more.
-    void leave(SessionId id, Waiter* waiter);
+    void withdraw_request(SessionId id, AnswerHandler* waiter);
     // A session that plays already and is handed over at the start; false: there is one of that number.
-    bool adopt(const Ask& ask, ServerId server);
+    bool adopt_session(const ViewerRequest& ask, ServerId server);
     // Its viewer has ended a session that stands; false: none of that number does.
-    bool hang_up(SessionId id);
-    bool knows(SessionId id) const { return sessions_.count(id) != 0; }
+    bool terminate_by_viewer(SessionId id);
+    bool has_session(SessionId id) const { return sessions_.count(id) != 0; }
     // The process ends: whoever is owed an answer, now or later, has it by that time.
-    void answer_by(Time last);
+    void set_answer_deadline(Time last);
     // Sessions that are owed an answer.
-    std::size_t owed() const { return owed_; }
-    void take_list(const ServerList& list);
+    std::size_t unanswered_sessions() const { return owed_; }
+    void update_server_list(const ServerList& list);
 
     // NodeEvents
-    void started(SessionId session, int attempt, const Media& media) override;
-    void over(SessionId session, int attempt, Outcome outcome, const LoadReport& report) override;
-    void lost(SessionId session, int attempt, Outcome outcome) override;
-    void released(SessionId session, int attempt) override;
-    void note(SessionId session, int attempt, ServerId server, NoteKind kind, double value) override;
-    bool found(const FoundPlaying& one) override;
-    void life(ServerId server, Time started) override;
-    void probed(ServerId server, Outcome outcome, Time waited, const LoadReport& report) override;
-
-    const Counts& counts() const { return counts_; }
+    void on_attempt_started(SessionId session, int attempt, const Media& media) override;
+    void on_attempt_ended(SessionId session, int attempt, Outcome outcome, const LoadReport& report) override;
+    void on_attempt_lost(SessionId session, int attempt, Outcome outcome) override;
+    void on_attempt_released(SessionId session, int attempt) override;
+    void on_session_note(SessionId session, int attempt, ServerId server, NoteKind kind,
+                         double value) override;
+    bool reclaim_session(const OrphanedSession& one) override;
+    void on_node_incarnation(ServerId server, Time started) override;
+    void on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) override;
+
+    const EngineCounts& counts() const { return counts_; }
     const Settings& settings() const { return settings_; }
     std::size_t open_sessions() const { return sessions_.size(); }
-    std::size_t playing() const { return playing_; }
-    std::size_t doubtful() const { return doubts_.size(); }
+    std::size_t established_sessions() const { return playing_; }
+    std::size_t unreleased_attempts() const { return doubts_.size(); }
 
   private:
     enum class State { held, out, playing, left };
@@ -159,7 +161,7 @@
 
     template <typename Step>
     void contain_slips(const Step& step);
-    void contain(const Slip& slip);
+    void contain(const InvariantViolation& slip);
     void fail_broken(SessionId id);
     void attempt_started(Session& s, const Media& media);
     Session& known(SessionId id, const char* action);
@@ -173,17 +175,17 @@
     void deadline_passed(SessionId id);
     void nobody_waits(SessionId id);
     void finish(SessionId id, const char* by);
-    std::string key(const Ask& ask) const;
-    Session& take_over(SessionId id, const Ask& ask, ServerId server, int attempt, int rung);
+    std::string key(const ViewerRequest& ask) const;
+    Session& take_over(SessionId id, const ViewerRequest& ask, ServerId server, int attempt, int rung);
     void remember(const Session& s);
 
     io::Loop& loop_;
     Settings settings_;
     NodePort& nodes_;
-    ListPort* list_;
+    ServerListPort* list_;
     EngineLimits limits_;
     Director director_;
-    Counts counts_;
+    EngineCounts counts_;
     const SessionId first_id_;
     SessionId last_id_;
     std::size_t playing_ = 0, owed_ = 0;
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -12,7 +12,7 @@
 namespace ivyfield::core {
 
 // What a viewer asks for. Indices into Settings; names travel beside them, for nodes and logs only.
-struct Ask {
+struct ViewerRequest {
     std::string cls_name;
     std::string sid;  // the player's own id of its session; stays over all its tries
     std::string title_name;
@@ -21,10 +21,10 @@
     int first_cell = 0, cell_count = 0, top_rung = 0;
     // Of protocols that number their sessions themselves: then each request is a session of its own, under
     // that number, and says itself who asks, until when, and whether it comes again.
-    std::optional<SessionId> number;
+    std::optional<SessionId> preassigned_id;
     std::uint64_t viewer = 0;
     Time deadline = 0;
-    bool again = false;
+    bool returning = false;
     std::string description;  // opaque, for the node
 };
 
@@ -40,15 +40,15 @@
 };
 
 // One number for one title, alike at each director and after each restart.
-TitleId title_id(const std::string& title_name);
+TitleId compute_title_id(const std::string& title_name);
 
 // A session that a node plays and this life of the director knows nothing of.
-struct FoundPlaying {
+struct OrphanedSession {
     SessionId session = 0;
     int attempt = 0;
     ServerId server = 0;
     int rung = 0;
-    Ask ask;  // cls or tenant -1: the settings name it no more
+    ViewerRequest request;  // cls or tenant -1: the settings name it no more
     Media media;
 };
 
@@ -60,25 +60,25 @@
     Media media;
 };
 
-enum class Answer { plays, refused, failed, abandoned };
+enum class Answer { established, rejected, failed, abandoned };
 const char* name(Answer answer);
 
 // One request of a player that waits for an answer. It hears exactly one of these, once.
-class Waiter {
+class AnswerHandler {
   public:
-    virtual ~Waiter() = default;
-    virtual void plays(const Placement& where) = 0;
-    virtual void refused(Time retry_after) = 0;
-    virtual void failed() = 0;
+    virtual ~AnswerHandler() = default;
+    virtual void on_established(const Placement& where) = 0;
+    virtual void on_rejected(Time retry_after) = 0;
+    virtual void on_failed() = 0;
 };
 
-struct SetUp {
+struct SetupRequest {
     SessionId session = 0;
     int attempt = 0;
     ServerId server = 0;
     int rung = 0;
     Time expires = 0;
-    Ask ask;
+    ViewerRequest request;
     bool paid = false;
 };
 
@@ -86,7 +86,7 @@
 class NodePort {
   public:
     virtual ~NodePort() = default;
-    virtual void set_up(const SetUp& what) = 0;  // ends in started() or over()
+    virtual void set_up(const SetupRequest& what) = 0;  // ends in started() or over()
     virtual void set_rung(ServerId server, SessionId session, int attempt, int rung) = 0;
     // The session leaves its node; over() tells when it has.
     virtual void move(ServerId server, SessionId session, int attempt) = 0;
@@ -96,33 +96,35 @@
     virtual void probe(ServerId server) = 0;  // ends in probed()
     // Whether a cancelled attempt that was out is over at its node with the call: then released() never comes
     // and nothing of it is in doubt.
-    virtual bool cancel_is_final() const { return false; }
+    virtual bool is_cancel_final() const { return false; }
 };
 
 // What nodes tell the engine.
 class NodeEvents {
   public:
     virtual ~NodeEvents() = default;
-    virtual void started(SessionId session, int attempt, const Media& media) = 0;
+    virtual void on_attempt_started(SessionId session, int attempt, const Media& media) = 0;
     // Over, and nothing of it is left at the node.
-    virtual void over(SessionId session, int attempt, Outcome outcome, const LoadReport& report) = 0;
+    virtual void on_attempt_ended(SessionId session, int attempt, Outcome outcome,
+                                  const LoadReport& report) = 0;
     // Over for its session, but the node may hold it still; released() follows, once.
-    virtual void lost(SessionId session, int attempt, Outcome outcome) = 0;
+    virtual void on_attempt_lost(SessionId session, int attempt, Outcome outcome) = 0;
     // An attempt that was lost or cancelled is known to be over at the node.
-    virtual void released(SessionId session, int attempt) = 0;
-    virtual void note(SessionId session, int attempt, ServerId server, NoteKind kind, double value) = 0;
+    virtual void on_attempt_released(SessionId session, int attempt) = 0;
+    virtual void on_session_note(SessionId session, int attempt, ServerId server, NoteKind kind,
+                                 double value) = 0;
     // True: the session is taken back and counts from now on. False: the node is to end it.
-    virtual bool found(const FoundPlaying& one) = 0;
+    virtual bool reclaim_session(const OrphanedSession& one) = 0;
     // The process that answers at the node, now or when one answers again, has not run since before
     // `started`.
-    virtual void life(ServerId server, Time started) = 0;
-    virtual void probed(ServerId server, Outcome outcome, Time waited, const LoadReport& report) = 0;
+    virtual void on_node_incarnation(ServerId server, Time started) = 0;
+    virtual void on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) = 0;
 };
 
 // The list of servers, for modules that ask for it; a pushed list needs neither.
-class ListPort {
+class ServerListPort {
   public:
-    virtual ~ListPort() = default;
+    virtual ~ServerListPort() = default;
     virtual void follow(bool on) = 0;
     virtual void fetch() = 0;
 };
--- a/src/decide/intake.hpp
+++ b/src/decide/admission.hpp
@@ -10,22 +10,22 @@
 
 namespace ivyfield::decide {
 
-struct IntakeLimits {
-    std::size_t connections = 0;        // of viewers
-    std::size_t open_a_connection = 0;  // set-ups owed an answer on one of them
+struct AdmissionLimits {
+    std::size_t max_connections = 0;             // of viewers
+    std::size_t max_pending_per_connection = 0;  // set-ups owed an answer on one of them
 };
 
 // A viewers' connection, as far as it matters here.
-struct Held {
-    std::size_t open = 0;  // set-ups owed an answer
-    bool carried = false;  // a set-up that could be used has come on it
-    Time used = 0;
+struct ConnectionLoad {
+    std::size_t pending_setups = 0;  // set-ups owed an answer
+    bool has_carried_setup = false;  // a set-up that could be used has come on it
+    Time last_used = 0;
 };
 
 // The one that gives way where all are in use; nothing: the new one is turned away.
-std::optional<std::size_t> gives_way(const std::vector<Held>& all);
+std::optional<std::size_t> select_eviction(const std::vector<ConnectionLoad>& all);
 
 // False: it is refused, and trying again is harmless.
-bool takes(const IntakeLimits& limits, std::size_t open_here, bool stopping);
+bool can_admit_setup(const AdmissionLimits& limits, std::size_t open_here, bool stopping);
 
 }  // namespace ivyfield::decide
--- a/src/decide/presence.cpp
+++ b/src/decide/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "decide/presence.hpp"
+#include "decide/failure_detector.hpp"
 
 #include <algorithm>
 
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-void Presence::heard(Time now) {
+void FailureDetector::record_activity(Time now) {
     heard_ = now;
     failures_ = 0;
 }
 
 // Dials that began before the last failure was known are the same failure: a crowd of set-ups that all dial
 // in one bad moment must not end every session there.
-bool Presence::dial_failed(Time began, Time now, bool refused) {
+bool FailureDetector::record_dial_failure(Time began, Time now, bool refused) {
     if (refused) return true;
     if (began < heard_ || (failures_ > 0 && began < failed_)) return false;
     failed_ = now;
@@ -29,8 +29,8 @@
     return failures_ >= kFailures;
 }
 
-Time Presence::look_at(Time now) const { return std::max(now + kNextLook, heard_ + kSilent); }
+Time FailureDetector::next_check_at(Time now) const { return std::max(now + kNextLook, heard_ + kSilent); }
 
-bool Presence::silent(Time now) const { return now >= heard_ + kSilent; }
+bool FailureDetector::is_silent(Time now) const { return now >= heard_ + kSilent; }
 
 }  // namespace ivyfield::decide
--- a/src/decide/presence.hpp
+++ b/src/decide/failure_detector.hpp
@@ -7,16 +7,16 @@
 
 namespace ivyfield::decide {
 
-class Presence {
+class FailureDetector {
   public:
     // Bytes came, or a connection came up.
-    void heard(Time now);
+    void record_activity(Time now);
     // A dial that began then has not come up; `refused`: by a machine that is there, with no process at its
     // port. True: the node is gone, and with it all that stood there.
-    bool dial_failed(Time began, Time now, bool refused);
+    bool record_dial_failure(Time began, Time now, bool refused);
     // When to ask again whether a node with sessions is to be dialled, and whether it is now.
-    Time look_at(Time now) const;
-    bool silent(Time now) const;
+    Time next_check_at(Time now) const;
+    bool is_silent(Time now) const;
 
   private:
     Time heard_ = 0, failed_ = 0;
--- a/src/decide/polling.cpp
+++ b/src/decide/poll_schedule.cpp
@@ -1,4 +1,4 @@
-#include "decide/polling.hpp"
+#include "decide/poll_schedule.hpp"
 
 #include <algorithm>
 
@@ -12,12 +12,12 @@
 }  // namespace
 
 // Once it has been silent for as long as events take to count, the gap grows with the silence.
-Time Polling::next(Time now) const {
+Time PollSchedule::next_interval(Time now) const {
     const Time silent = now - heard_;
     if (silent <= kTold) return kOften;
     return std::clamp(silent / 6, kOften, kSeldom);
 }
 
-bool Polling::fresh(Time asked, Time now) { return now - asked <= kTold; }
+bool PollSchedule::is_fresh(Time asked, Time now) { return now - asked <= kTold; }
 
 }  // namespace ivyfield::decide
--- a/src/decide/polling.hpp
+++ b/src/decide/poll_schedule.hpp
@@ -8,15 +8,15 @@
 
 namespace ivyfield::decide {
 
-class Polling {
+class PollSchedule {
   public:
-    explicit Polling(Time now) : heard_(now) {}
-    void heard(Time now) { heard_ = now; }
+    explicit PollSchedule(Time now) : heard_(now) {}
+    void record_answer(Time now) { heard_ = now; }
     // How long after this query the next one is sent.
-    Time next(Time now) const;
+    Time next_interval(Time now) const;
     // Whether an answer that came now, to a query of then, tells what holds now: one that was long on its way
     // is no sign that nothing has happened since.
-    static bool fresh(Time asked, Time now);
+    static bool is_fresh(Time asked, Time now);
 
   private:
     Time heard_;
--- a/src/decide/claims.hpp
+++ b/src/decide/reclaim.hpp
@@ -7,24 +7,24 @@
 
 namespace ivyfield::decide {
 
-struct Found {
+struct ReclaimCandidate {
     int cls = -1, tenant = -1;  // indices into the settings; -1: no such class or tenant any more
     int rung = 0;
-    bool asked_again = false;  // its viewer has come again meanwhile and has another session here
-    bool own_life = false;     // this life has set it up and given it up
-    int held = 0;              // sessions of its title and class that this director holds, set-ups included
+    bool superseded = false;             // its viewer has come again meanwhile and has another session here
+    bool from_this_incarnation = false;  // this life has set it up and given it up
+    int held_sessions = 0;  // sessions of its title and class that this director holds, set-ups included
 };
-enum class Claim {
-    take,
-    no_such_class,
-    no_such_tenant,
+enum class ReclaimVerdict {
+    reclaim,
+    unknown_class,
+    unknown_tenant,
     rung_not_allowed,  // under the class's floor, or not on the ladder
-    given_up,
-    asked_again,
-    no_seat
+    already_given_up,
+    superseded,
+    no_free_seat
 };
-const char* name(Claim claim);
+const char* name(ReclaimVerdict claim);
 
-Claim claim(const Settings& settings, const Found& found);
+ReclaimVerdict evaluate_reclaim(const Settings& settings, const ReclaimCandidate& found);
 
 }  // namespace ivyfield::decide
--- a/src/decide/endings.cpp
+++ b/src/decide/session_end.cpp
@@ -1,4 +1,4 @@
-#include "decide/endings.hpp"
+#include "decide/session_end.hpp"
 
 namespace ivyfield::decide {
 
@@ -13,16 +13,17 @@
 
 // "Cancelled" is a node's word for an end by its viewer, who knows. (Where the viewer left before our answer
 // was there nothing that we could say counts either: docs/results/fleet.md, five ways tried.)
-bool owes_release(const Ended& ended) {
-    return ended.told && !ended.hung_up && !ended.moved && ended.outcome != Outcome::cancelled;
+bool must_notify_viewer(const SessionEnd& ended) {
+    return ended.reported_established && !ended.terminated_by_viewer && !ended.moved &&
+           ended.outcome != Outcome::cancelled;
 }
 
-bool tells_end_on(bool carried, bool tested, Time waited) {
+bool can_carry_end_notice(bool carried, bool tested, Time waited) {
     return carried || (tested && waited >= kOwnWait);
 }
 
-bool may_have_crossed(Time ago) { return ago <= kCrossing; }
+bool can_have_crossed(Time ago) { return ago <= kCrossing; }
 
-Time may_follow_elsewhere(Time answered) { return answered + kCrossing; }
+Time earliest_end_notice_elsewhere(Time answered) { return answered + kCrossing; }
 
 }  // namespace ivyfield::decide
--- a/src/decide/shutdown.cpp
+++ b/src/decide/shutdown.cpp
@@ -17,29 +17,30 @@
 
 }  // namespace
 
-Shutdown::Shutdown(const Settings& settings, Time asked) : asked_(asked), killed_(asked + kAfterDeadline) {
+GracefulShutdown::GracefulShutdown(const Settings& settings, Time asked)
+    : asked_(asked), killed_(asked + kAfterDeadline) {
     Time longest = 0;
     for (const ClassSettings& cls : settings.classes) longest = std::max(longest, cls.patience);
     killed_ += std::min(longest, kDeadlineCounts);
 }
 
-Time Shutdown::take_until() const { return asked_ + kAfterDeadline + kCrossing; }
+Time GracefulShutdown::accept_deadline() const { return asked_ + kAfterDeadline + kCrossing; }
 
-Time Shutdown::answer_by() const { return killed_ - 2 * kCrossing; }
+Time GracefulShutdown::answer_deadline() const { return killed_ - 2 * kCrossing; }
 
 // A new connection brings a request that crossed the end of another: it has its time to come.
-bool Shutdown::ends_connection(Time now, const DrainingConnection& connection) const {
-    if (now < take_until() || connection.open > 0) return false;
-    if (connection.requested || connection.accepted < take_until()) return true;
-    return now - connection.accepted >= kQuiet;
+bool GracefulShutdown::should_close_connection(Time now, const DrainingConnection& connection) const {
+    if (now < accept_deadline() || connection.pending_setups > 0) return false;
+    if (connection.has_received_message || connection.accepted_at < accept_deadline()) return true;
+    return now - connection.accepted_at >= kQuiet;
 }
 
-bool Shutdown::leaves(Time now, const Unfinished& left) const {
+bool GracefulShutdown::should_exit(Time now, const PendingWork& left) const {
     if (now >= killed_ - kCrossing) return true;
-    if (now < take_until() || left.owed > 0 || left.unsent) return false;
+    if (now < accept_deadline() || left.unanswered_setups > 0 || left.has_unsent_output) return false;
     // All is answered or given up; the little time left is for the process to end.
-    if (now >= answer_by()) return now - left.heard >= kCrossing;
-    return left.connections == 0 && now - left.heard >= kQuiet;
+    if (now >= answer_deadline()) return now - left.last_received >= kCrossing;
+    return left.open_connections == 0 && now - left.last_received >= kQuiet;
 }
 
 }  // namespace ivyfield::decide
--- a/src/decide/shutdown.hpp
+++ b/src/decide/shutdown.hpp
@@ -15,32 +15,32 @@
 namespace ivyfield::decide {
 
 // What a director that ends still has to do, as far as it matters here.
-struct Unfinished {
-    std::size_t owed = 0;         // set-ups without an answer
-    bool unsent = false;          // something written has not left yet
-    std::size_t connections = 0;  // of clients, not yet closed by both sides
-    Time heard = 0;               // when something last came from clients
+struct PendingWork {
+    std::size_t unanswered_setups = 0;  // set-ups without an answer
+    bool has_unsent_output = false;     // something written has not left yet
+    std::size_t open_connections = 0;   // of clients, not yet closed by both sides
+    Time last_received = 0;             // when something last came from clients
 };
 
 // One client connection during the shutdown.
 struct DrainingConnection {
-    std::size_t open = 0;    // set-ups without an answer
-    bool requested = false;  // a message has come on it
-    Time accepted = 0;
+    std::size_t pending_setups = 0;     // set-ups without an answer
+    bool has_received_message = false;  // a message has come on it
+    Time accepted_at = 0;
 };
 
-class Shutdown {
+class GracefulShutdown {
   public:
     // `asked`: when SIGTERM was found.
-    Shutdown(const Settings& settings, Time asked);
+    GracefulShutdown(const Settings& settings, Time asked);
     // What comes later is refused; trying again elsewhere is harmless.
-    Time take_until() const;
+    Time accept_deadline() const;
     // What is still unanswered then is given up: nobody would answer it after the kill.
-    Time answer_by() const;
+    Time answer_deadline() const;
     // Whether that connection is ended now.
-    bool ends_connection(Time now, const DrainingConnection& connection) const;
+    bool should_close_connection(Time now, const DrainingConnection& connection) const;
     // True: nothing is left to do, or no time to do it.
-    bool leaves(Time now, const Unfinished& left) const;
+    bool should_exit(Time now, const PendingWork& left) const;
 
   private:
     Time asked_, killed_;
--- a/src/discovery/srv/srv.cpp
+++ b/src/discovery/srv/srv.cpp
@@ -206,12 +206,12 @@
     if (server == server_) return;
     server_ = server;
     open_.clear();
-    polling_ = decide::Polling(loop_.now());
+    polling_ = decide::PollSchedule(loop_.now());
     next_ = loop_.after(0, [this] { ask(); });
 }
 
 void SrvList::ask() {
-    next_ = loop_.after(polling_.next(loop_.now()), [this] { ask(); });
+    next_ = loop_.after(polling_.next_interval(loop_.now()), [this] { ask(); });
     const auto id = static_cast<std::uint16_t>(loop_.random()());
     if (open_.size() >= kOpenQueries) open_.pop_front(), counts_.unanswered += 1;
     open_.push_back({id, loop_.now()});
@@ -232,7 +232,7 @@
         counts_.bad += 1;
         return;
     }
-    const bool fresh = decide::Polling::fresh(it->asked, loop_.now());
+    const bool fresh = decide::PollSchedule::is_fresh(it->asked, loop_.now());
     // Parsing costs as much as some ten answers to clients, and four times a second it brings nothing new.
     if (!last_answer_.empty() && bytes.substr(kIdSize) == last_answer_) {
         open_.erase(it);
@@ -249,20 +249,20 @@
 
 void SrvList::take(const SrvAnswer& answer, std::string_view bytes, bool fresh) {
     if (answer.serial < serial_) {
-        polling_.heard(loop_.now());
+        polling_.record_answer(loop_.now());
         counts_.older += 1;
         return;
     }
     last_answer_ = bytes.substr(kIdSize);
     if (answer.serial == serial_) return confirm(fresh);
-    polling_.heard(loop_.now());
+    polling_.record_answer(loop_.now());
     counts_.taken += 1;
     serial_ = answer.serial;
     events_.changed(answer.members);
 }
 
 void SrvList::confirm(bool fresh) {
-    polling_.heard(loop_.now());
+    polling_.record_answer(loop_.now());
     counts_.same += 1;
     if (fresh) events_.confirmed();
 }
--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "decide/polling.hpp"
+#include "decide/poll_schedule.hpp"
 #include "io/loop.hpp"
 #include "ivyfield/director.hpp"
 
@@ -80,7 +80,7 @@
         io::Time asked;
     };
     std::deque<Query> open_;  // that may still be answered, oldest first
-    decide::Polling polling_;
+    decide::PollSchedule polling_;
     io::Timer next_;
     SrvCounts counts_;
     std::string fault_;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -72,16 +72,16 @@
 }
 
 // One HTTP request that waits for its session's answer.
-struct HttpFront::Pending : core::Waiter {
+struct HttpFront::Pending : core::AnswerHandler {
     HttpFront& front;
     std::uint64_t number;
     http::ExchangePtr exchange;
-    core::Ask ask;
+    core::ViewerRequest ask;
     io::Time began;
     SessionId session = 0;
     bool done = false;
 
-    Pending(HttpFront& owner, std::uint64_t n, http::ExchangePtr e, core::Ask a)
+    Pending(HttpFront& owner, std::uint64_t n, http::ExchangePtr e, core::ViewerRequest a)
         : front(owner), number(n), exchange(std::move(e)), ask(std::move(a)), began(owner.loop_.now()) {}
 
     hints::Keys dynamic_keys() const {
@@ -99,7 +99,7 @@
         // The engine may still be in the call that told us.
         front.loop_.post([owner = &front, n = number] { owner->pending_.erase(n); });
     }
-    void plays(const core::Placement& where) override {
+    void on_established(const core::Placement& where) override {
         const Settings& s = front.config_.settings;
         hints::Keys keys = dynamic_keys();
         keys.values["mb"] = rung_kbps(s, ask.cls, where.rung);
@@ -114,7 +114,7 @@
         r.body = master_playlist(s, ask.cls, where.rung, top, where.media);
         send(std::move(r), keys);
     }
-    void refused(Time retry_after) override {
+    void on_rejected(Time retry_after) override {
         hints::Keys keys = dynamic_keys();
         keys.values["du"] = true;
         http::Response r = http::plain(503, "no room now");
@@ -123,7 +123,7 @@
                       std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
         send(std::move(r), keys);
     }
-    void failed() override { send(http::plain(504, "the session could not be set up"), dynamic_keys()); }
+    void on_failed() override { send(http::plain(504, "the session could not be set up"), dynamic_keys()); }
 };
 
 HttpFront::HttpFront(io::Loop& loop, const config::Config& config, core::Engine& engine)
@@ -183,7 +183,7 @@
 void HttpFront::watch(const http::ExchangePtr& exchange, const std::string& tenant, const std::string& cls,
                       const std::string& title) {
     const Settings& s = config_.settings;
-    core::Ask ask;
+    core::ViewerRequest ask;
     ask.tenant = index_of(s.tenants, tenant);
     ask.cls = index_of(s.classes, cls);
     if (ask.tenant < 0 || ask.cls < 0 || title.empty() || title.size() > kLongestTitle) {
@@ -199,7 +199,7 @@
     ask.sid = cmcd.keys.text("sid").value_or("");
     if (ask.sid.empty()) ask.sid = make_sid();
     ask.title_name = title;
-    ask.title = core::title_id(title);
+    ask.title = core::compute_title_id(title);
     ask.cell_count = config_.copies;
     ask.first_cell = s.cells > 0 ? static_cast<int>(ask.title % static_cast<std::uint64_t>(s.cells)) : 0;
     const ClassSettings& c = s.classes[static_cast<std::size_t>(ask.cls)];
@@ -219,10 +219,10 @@
         counts_.gone += 1;
         Pending& p = *it->second;
         p.done = true;
-        engine_.leave(p.session, &p);
+        engine_.withdraw_request(p.session, &p);
         loop_.post([this, number] { pending_.erase(number); });
     });
-    const SessionId session = engine_.open(ask, &pending);
+    const SessionId session = engine_.open_session(ask, &pending);
     pending.session = session;
 }
 
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "decide/endings.hpp"
+#include "decide/session_end.hpp"
 
 namespace ivyfield::fronts {
 
@@ -84,7 +84,7 @@
     void on_closed(io::Closing) override { owner.closed_by_client(*this, CloseReason::client_reset); }
 };
 
-struct RelayFront::Request : core::Waiter {
+struct RelayFront::Request : core::AnswerHandler {
     RelayFront& owner;
     SessionId session;
     std::string id;  // as the viewer wrote it
@@ -92,7 +92,7 @@
 
     Request(RelayFront& o, SessionId s, std::string text, Connection* c)
         : owner(o), session(s), id(std::move(text)), connection(c) {}
-    void plays(const core::Placement& where) override {
+    void on_established(const core::Placement& where) override {
         ViewerMessage m;
         m.type = Type::answer, m.id = id, m.sdp = where.media.description;
         Connection* c = connection;
@@ -103,14 +103,14 @@
         owner.send(*c, m);
         owner.close_if_done(*c);
     }
-    void refused(Time retry_after) override {
+    void on_rejected(Time retry_after) override {
         Connection* c = connection;
         const std::string text = id;
         owner.answered(session);
         owner.release(*c, text, kRefused, retry_after);
         owner.close_if_done(*c);
     }
-    void failed() override {
+    void on_failed() override {
         Connection* c = connection;
         const std::string text = id;
         owner.answered(session);
@@ -129,7 +129,7 @@
     // One that leaves may have others answered.
     while (!requests_.empty()) {
         const SessionId id = requests_.begin()->first;
-        engine_.leave(id, requests_.begin()->second.get());
+        engine_.withdraw_request(id, requests_.begin()->second.get());
         answered(id);
     }
 }
@@ -152,14 +152,14 @@
 }
 
 bool RelayFront::make_room() {
-    while (connections_.size() >= limits_.intake.connections) {
+    while (connections_.size() >= limits_.intake.max_connections) {
         std::vector<Connection*> connections;
-        std::vector<decide::Held> held;
+        std::vector<decide::ConnectionLoad> held;
         for (const auto& c : connections_) {
             connections.push_back(c.get());
             held.push_back({c->open.size(), c->carried, c->used});
         }
-        const auto candidate = decide::gives_way(held);
+        const auto candidate = decide::select_eviction(held);
         if (!candidate) return false;
         evict(*connections[*candidate]);
     }
@@ -182,7 +182,7 @@
     counts_.closed[static_cast<std::size_t>(reason)] += 1;
     ClosedConnection closed{c.number, reason, c.open.size(), std::nullopt};
     if (c.answered) closed.since_answer = loop_.now() - *c.answered;
-    const bool crosses_answer = closed.since_answer && decide::may_have_crossed(*closed.since_answer);
+    const bool crosses_answer = closed.since_answer && decide::can_have_crossed(*closed.since_answer);
     if (on_closed && (closed.open > 0 || crosses_answer)) on_closed(closed);
 }
 
@@ -207,7 +207,7 @@
     dead_.push_back(std::move(*it));
     connections_.erase(it);
     for (const auto& one : told)
-        if (decide::may_have_crossed(loop_.now() - one.when)) notify_elsewhere(one.end);
+        if (decide::can_have_crossed(loop_.now() - one.when)) notify_elsewhere(one.end);
     if (burying_) return;
     burying_ = true;
     loop_.post([this] {
@@ -235,7 +235,7 @@
         const auto it = requests_.find(id);
         if (it == requests_.end()) continue;  // answered because one of the others left
         counts_.gave_up += 1;
-        engine_.leave(id, it->second.get());
+        engine_.withdraw_request(id, it->second.get());
         answered(id);
     }
 }
@@ -272,11 +272,11 @@
     });
 }
 
-void RelayFront::begin_shutdown(const decide::Shutdown& shutdown) { shutdown_ = shutdown; }
+void RelayFront::begin_shutdown(const decide::GracefulShutdown& shutdown) { shutdown_ = shutdown; }
 
 bool RelayFront::is_drained(const Connection& c) const {
     if (c.gone || c.ending) return false;
-    return shutdown_->ends_connection(loop_.now(), {c.open.size(), c.requested, c.accepted});
+    return shutdown_->should_close_connection(loop_.now(), {c.open.size(), c.requested, c.accepted});
 }
 
 void RelayFront::end_drained_connections() {
@@ -381,7 +381,7 @@
 }
 
 // What is wrong with the set-up, or nothing.
-std::string RelayFront::read_ask(const ViewerMessage& m, core::Ask& ask, std::string& at) const {
+std::string RelayFront::read_ask(const ViewerMessage& m, core::ViewerRequest& ask, std::string& at) const {
     const auto field = [&](const char* name) {
         const auto it = m.fields.find(name);
         return it == m.fields.end() ? std::string() : it->second;
@@ -390,7 +390,7 @@
         const auto it = std::find(names.begin(), names.end(), name);
         return it == names.end() ? -1 : static_cast<int>(it - names.begin());
     };
-    ask.number = m.session;
+    ask.preassigned_id = m.session;
     ask.cls_name = field("class");
     ask.cls = index(names_.classes, ask.cls_name);
     if (ask.cls < 0) return "no such class";
@@ -420,7 +420,7 @@
     const auto viewer = relay::read_hex(extra("viewer"));
     if (!viewer) return "viewer can't be read";
     ask.viewer = *viewer;
-    ask.again = extra("again") == "1";
+    ask.returning = extra("again") == "1";
     at = extra("at");
     // One that plays already waits for nothing, and says so by a time without bound.
     const Time patience = settings_.classes[static_cast<std::size_t>(ask.cls)].patience;
@@ -442,14 +442,14 @@
         if (it->second->connection == &c) {
             const std::string first = it->second->id;
             c.distrusted = true;
-            engine_.leave(m.session, it->second.get());
+            engine_.withdraw_request(m.session, it->second.get());
             answered(m.session);
             release(c, first, kUnusable);
         }
         release(c, m.id, kUnusable);
         return close_if_done(c);
     }
-    core::Ask ask;
+    core::ViewerRequest ask;
     std::string at;
     const std::string why = read_ask(m, ask, at);
     if (!why.empty()) {
@@ -464,7 +464,7 @@
     if (!at.empty()) {
         const auto server = node_named ? node_named(at) : std::nullopt;
         // It may name what we hold already.
-        if (engine_.knows(m.session)) return;
+        if (engine_.has_session(m.session)) return;
         if (!server) {
             counts_.bad += 1;
             return release(c, m.id, kUnusable);
@@ -475,12 +475,12 @@
         adopt(ask, *server);
         return;
     }
-    if (engine_.knows(m.session)) {  // it stands: its number is taken
+    if (engine_.has_session(m.session)) {  // it stands: its number is taken
         counts_.repeated += 1;
         return release(c, m.id, kUnusable);
     }
-    const bool stopping = shutdown_ && loop_.now() >= shutdown_->take_until();
-    if (!decide::takes(limits_.intake, c.open.size(), stopping)) {
+    const bool stopping = shutdown_ && loop_.now() >= shutdown_->accept_deadline();
+    if (!decide::can_admit_setup(limits_.intake, c.open.size(), stopping)) {
         counts_.turned_away += 1;
         release(c, m.id, kRefused);
         return close_if_done(c);
@@ -489,7 +489,7 @@
     Request* request = owned.get();
     requests_.emplace(m.session, std::move(owned));
     c.open.insert(m.session);
-    engine_.open(ask, request);
+    engine_.open_session(ask, request);
 }
 
 // The request has had its answer, or nobody waits for it any more.
@@ -508,13 +508,13 @@
         if (it->second->connection != &c) return close(c, CloseReason::unusable);
         counts_.gave_up += 1;
         Request* request = it->second.get();
-        engine_.leave(m.session, request);
+        engine_.withdraw_request(m.session, request);
         answered(m.session);
         return close_if_done(c);
     }
     ViewerMessage heard;
     heard.type = Type::released, heard.id = m.id;
-    if (engine_.hang_up(m.session)) {
+    if (engine_.terminate_by_viewer(m.session)) {
         counts_.hung_up += 1;
         if (const auto it = standing_.find(m.session); it != standing_.end()) {
             if (Connection* own = it->second.connection) own->standing.erase(m.session);
@@ -549,7 +549,7 @@
 RelayFront::Connection* RelayFront::connection_to_notify(io::Time waited) const {
     Connection* best = nullptr;
     for (const auto& c : connections_) {
-        if (c->ending || !decide::tells_end_on(c->carried, c->tested, waited)) continue;
+        if (c->ending || !decide::can_carry_end_notice(c->carried, c->tested, waited)) continue;
         if (!best || std::make_pair(c->carried, c->used) > std::make_pair(best->carried, best->used))
             best = c.get();
     }
@@ -562,7 +562,7 @@
     m.id = relay::hex(end.id);
     if (!end.moved) m.cause = kOver;
     counts_.releases += 1;
-    while (!c.told.empty() && !decide::may_have_crossed(loop_.now() - c.told.front().when))
+    while (!c.told.empty() && !decide::can_have_crossed(loop_.now() - c.told.front().when))
         c.told.pop_front();
     c.told.push_back({loop_.now(), end});
     send(c, m);
@@ -580,7 +580,7 @@
     pending_notifications_.clear();
     io::Time next = std::numeric_limits<io::Time>::infinity();
     for (const Notification& end : pending) {
-        const io::Time earliest = decide::may_follow_elsewhere(end.answered);
+        const io::Time earliest = decide::earliest_end_notice_elsewhere(end.answered);
         if (earliest > loop_.now()) {
             next = std::min(next, earliest);
         } else if (Connection* c = connection_to_notify(loop_.now() - end.since)) {
--- a/src/fronts/relay/front.hpp
+++ b/src/fronts/relay/front.hpp
@@ -12,7 +12,7 @@
 #include <memory>
 
 #include "core/engine.hpp"
-#include "decide/intake.hpp"
+#include "decide/admission.hpp"
 #include "decide/shutdown.hpp"
 #include "io/loop.hpp"
 #include "relay/message.hpp"
@@ -20,7 +20,7 @@
 namespace ivyfield::fronts {
 
 struct RelayFrontLimits {
-    decide::IntakeLimits intake{256, 256};
+    decide::AdmissionLimits intake{256, 256};
     std::size_t unread_output = 256 * 1024;    // of one connection
     std::size_t pending_notifications = 4096;  // that wait for a connection
     io::Time linger = 500;  // a closed connection is still read, so that its last word arrives
@@ -73,7 +73,7 @@
     // The media node of that name, where the list has it.
     std::function<std::optional<ServerId>(const std::string& uid)> node_named;
     // A session that plays already is handed over: to the engine, and to the node's link.
-    std::function<bool(const core::Ask& ask, ServerId server)> adopt;
+    std::function<bool(const core::ViewerRequest& ask, ServerId server)> adopt;
     // A set-up that can't be used, and why.
     std::function<void(const std::string& why, const relay::ViewerMessage& m)> on_bad;
     // A connection ends with a set-up open on it, or so soon after an answer that the two may have crossed.
@@ -86,7 +86,7 @@
     // Graceful shutdown: set-ups that come after its time are refused, and connections are ended one by one.
     // New ones are taken to the last: closing the listener would reset those that the system has accepted and
     // nobody has read yet, and what crosses an end is sent again on a new connection.
-    void begin_shutdown(const decide::Shutdown& shutdown);
+    void begin_shutdown(const decide::GracefulShutdown& shutdown);
     // Ends the connections whose turn it is; to be called now and then during a shutdown.
     void end_drained_connections();
     // When bytes or a connection last came; before it leaves a director has read all that did.
@@ -114,7 +114,7 @@
     void take(Connection& c, const std::string& line);
     void take_set_up(Connection& c, const relay::ViewerMessage& m);
     void take_release(Connection& c, const relay::ViewerMessage& m);
-    std::string read_ask(const relay::ViewerMessage& m, core::Ask& ask, std::string& at) const;
+    std::string read_ask(const relay::ViewerMessage& m, core::ViewerRequest& ask, std::string& at) const;
     void send(Connection& c, const relay::ViewerMessage& m);
     void release(Connection& c, const std::string& id, int cause, Time wait = 0);
     void answered(SessionId id);
@@ -141,7 +141,7 @@
     core::Engine& engine_;
     bool began_ = false;
     io::Time heard_at_ = 0;
-    std::optional<decide::Shutdown> shutdown_;
+    std::optional<decide::GracefulShutdown> shutdown_;
     bool ending_drained_ = false;                         // end_drained_connections() is posted
     std::list<std::unique_ptr<Connection>> connections_;  // oldest first
     std::map<SessionId, std::unique_ptr<Request>> requests_;
--- a/src/nodes/link.cpp
+++ b/src/nodes/link.cpp
@@ -81,23 +81,24 @@
     return out;
 }
 
-core::FoundPlaying found_of(const json& event, ServerId server, const Settings& settings) {
+core::OrphanedSession found_of(const json& event, ServerId server, const Settings& settings) {
     const auto index = [](const auto& all, const std::string& name) {
         for (std::size_t k = 0; k < all.size(); ++k)
             if (all[k].name == name) return static_cast<int>(k);
         return -1;
     };
-    core::FoundPlaying out;
+    core::OrphanedSession out;
     out.session = event.at("session").get<SessionId>();
     out.attempt = event.at("attempt").get<int>();
     out.server = server;
     out.rung = event.at("rung").get<int>();
-    out.ask.sid = event.at("sid").get<std::string>();
-    out.ask.title_name = event.at("title").get<std::string>();
-    out.ask.title = core::title_id(out.ask.title_name);
-    out.ask.cls = index(settings.classes, event.at("class").get<std::string>());
-    out.ask.tenant = settings.tenants.empty() ? 0 : index(settings.tenants, event.value("tenant", ""));
-    if (out.ask.cls >= 0) out.ask.top_rung = settings.classes[static_cast<std::size_t>(out.ask.cls)].top;
+    out.request.sid = event.at("sid").get<std::string>();
+    out.request.title_name = event.at("title").get<std::string>();
+    out.request.title = core::compute_title_id(out.request.title_name);
+    out.request.cls = index(settings.classes, event.at("class").get<std::string>());
+    out.request.tenant = settings.tenants.empty() ? 0 : index(settings.tenants, event.value("tenant", ""));
+    if (out.request.cls >= 0)
+        out.request.top_rung = settings.classes[static_cast<std::size_t>(out.request.cls)].top;
     out.media.url = event.at("media").get<std::string>();
     out.media.renditions = renditions_of(event, settings.rung_kb.size());
     return out;
@@ -256,7 +257,7 @@
         node.last_word = loop_.now();
         const auto changes = node.account.stream_refused();
         counts_.put_right += changes.size();
-        events_->life(id, loop_.now());
+        events_->on_node_incarnation(id, loop_.now());
         carry(id, changes);
     }
 }
@@ -318,15 +319,15 @@
             const auto changes = node.account.hello(boot, whole);
             counts_.put_right += changes.size();
             const double age = event.value("age_ms", 0.0);
-            events_->life(server, loop_.now() - std::max(0.0, age));
+            events_->on_node_incarnation(server, loop_.now() - std::max(0.0, age));
             carry(server, changes);
         } else if (kind == "plays") {
             const auto changes = node.account.listed(key());
             const bool unclaimed = !changes.empty() && changes.front().what == Change::What::unclaimed;
             if (!unclaimed) return carry(server, changes);
-            const core::FoundPlaying one = found_of(event, server, settings_);
+            const core::OrphanedSession one = found_of(event, server, settings_);
             const auto begun = event.at("seq").get<std::uint64_t>();
-            const bool taken_back = events_->found(one);
+            const bool taken_back = events_->reclaim_session(one);
             counts_.unclaimed += 1;
             node.account.claimed(key(), begun, taken_back);
             if (taken_back) return;
@@ -357,7 +358,7 @@
                                   : kind == "link"    ? NoteKind::link
                                                       : NoteKind::uplink;
             const double value = event.at("value").get<double>();
-            events_->note(key().first, key().second, server, note, value);
+            events_->on_session_note(key().first, key().second, server, note, value);
         }  // "tick" and what later versions add: only a sign of life
     } catch (const std::exception&) {
         counts_.bad_lines += 1;
@@ -369,17 +370,17 @@
         const auto [session, attempt] = c.key;
         switch (c.what) {
             case Change::What::started:
-                events_->started(session, attempt, media);
+                events_->on_attempt_started(session, attempt, media);
                 break;
             case Change::What::over:
-                events_->over(session, attempt, c.outcome, {});
+                events_->on_attempt_ended(session, attempt, c.outcome, {});
                 break;
             case Change::What::lost:
-                events_->lost(session, attempt, c.outcome);
+                events_->on_attempt_lost(session, attempt, c.outcome);
                 break;
             case Change::What::released:
                 counts_.released += 1;
-                events_->released(session, attempt);
+                events_->on_attempt_released(session, attempt);
                 break;
             case Change::What::call_off:
                 break;  // its release is under way
@@ -449,21 +450,23 @@
 
 // ---- What is asked of nodes ----
 
-void NodeLink::set_up(const core::SetUp& what) {
+void NodeLink::set_up(const core::SetupRequest& what) {
     counts_.set_ups += 1;
     const Key key{what.session, what.attempt};
     const auto it = nodes_.find(what.server);
     if (it == nodes_.end() || it->second->too_old) {
-        loop_.post([this, key] { events_->over(key.first, key.second, Outcome::not_sent, {}); });
+        loop_.post([this, key] { events_->on_attempt_ended(key.first, key.second, Outcome::not_sent, {}); });
         return;
     }
     const ServerId server = what.server;
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(what.ask.cls)];
-    json body = {{"protocol", kProtocol},   {"director", director_},        {"session", what.session},
-                 {"attempt", what.attempt}, {"sid", what.ask.sid},          {"class", cls.name},
-                 {"rung", what.rung},       {"title", what.ask.title_name}, {"paid", what.paid}};
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(what.request.cls)];
+    json body = {{"protocol", kProtocol},   {"director", director_},
+                 {"session", what.session}, {"attempt", what.attempt},
+                 {"sid", what.request.sid}, {"class", cls.name},
+                 {"rung", what.rung},       {"title", what.request.title_name},
+                 {"paid", what.paid}};
     if (!settings_.tenants.empty())
-        body["tenant"] = settings_.tenants[static_cast<std::size_t>(what.ask.tenant)].name;
+        body["tenant"] = settings_.tenants[static_cast<std::size_t>(what.request.tenant)].name;
     http::Request request;
     request.method = "POST";
     request.target = "/v1/sessions";
@@ -552,7 +555,7 @@
     const bool there =
         it != nodes_.end() && (it->second->account.doubts().count(key) || it->second->account.plays(key));
     if (!there) {  // nothing is left there
-        loop_.post([this, session, attempt] { events_->released(session, attempt); });
+        loop_.post([this, session, attempt] { events_->on_attempt_released(session, attempt); });
         return;
     }
     it->second->to_release.insert(key);
@@ -562,7 +565,7 @@
 void NodeLink::probe(ServerId server) {
     const auto it = nodes_.find(server);
     if (it == nodes_.end()) {
-        loop_.post([this, server] { events_->probed(server, Outcome::not_connected, 0, {}); });
+        loop_.post([this, server] { events_->on_probe_result(server, Outcome::not_connected, 0, {}); });
         return;
     }
     http::Request request;
@@ -589,7 +592,7 @@
                          } else if (result.end == http::CallEnd::broke) {
                              outcome = Outcome::reset;
                          }
-                         events_->probed(server, outcome, result.waited, report);
+                         events_->on_probe_result(server, outcome, result.waited, report);
                      });
 }
 
--- a/src/nodes/link.hpp
+++ b/src/nodes/link.hpp
@@ -68,7 +68,7 @@
     // The nodes there are. Others are kept while attempts of ours may be there.
     void know(const std::map<ServerId, io::Address>& listed);
 
-    void set_up(const core::SetUp& what) override;
+    void set_up(const core::SetupRequest& what) override;
     void set_rung(ServerId server, SessionId session, int attempt, int rung) override;
     void move(ServerId server, SessionId session, int attempt) override;
     void cancel(ServerId server, SessionId session, int attempt) override;
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-#include "decide/endings.hpp"
+#include "decide/session_end.hpp"
 
 namespace ivyfield::nodes {
 
@@ -40,7 +40,7 @@
     io::Time dialled = 0, used = 0;
     // One set-up, as long as there is room for more connections.
     struct Open {
-        core::SetUp what;
+        core::SetupRequest what;
         bool written = false;
     };
     std::map<SessionId, Open> open;
@@ -69,7 +69,7 @@
     std::list<std::unique_ptr<Connection>> connections;
     std::map<SessionId, Standing> standing;
     std::deque<NodeMessage> owed;  // ends of sessions that it has not been told, for want of a connection
-    decide::Presence presence;
+    decide::FailureDetector presence;
     // A connection that was up has been lost: what ended there meanwhile is told on the next one that is
     // opened.
     bool lost_one = false, redialling = false;
@@ -117,7 +117,8 @@
 void RelayNodes::adopt(ServerId server, SessionId session, int attempt) {
     Node* node = find(server);
     if (!node) {
-        loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::reset, {}); });
+        loop_.post(
+            [this, session, attempt] { events_->on_attempt_ended(session, attempt, Outcome::reset, {}); });
         return;
     }
     node->standing[session] = {attempt};
@@ -190,7 +191,7 @@
 void RelayNodes::lose(Connection& c) {
     if (c.up) c.node.lost_one = true, c.node.lost_at = loop_.now();
     for (const auto& [when, message] : c.told)
-        if (decide::may_have_crossed(loop_.now() - when)) c.node.owed.push_back(message);
+        if (decide::can_have_crossed(loop_.now() - when)) c.node.owed.push_back(message);
     drop(c);
 }
 
@@ -219,7 +220,7 @@
         if (node.owed.size() < kOwedEnds) node.owed.push_back(m);
         return;
     }
-    while (!best->told.empty() && !decide::may_have_crossed(loop_.now() - best->told.front().first))
+    while (!best->told.empty() && !decide::can_have_crossed(loop_.now() - best->told.front().first))
         best->told.pop_front();
     best->told.emplace_back(loop_.now(), m);
     write(*best, m);
@@ -238,7 +239,7 @@
     }
     // One dialled in the same moment may be there before the node knows that the other is gone.
     if (c.dialled > node.lost_at) node.lost_one = false;
-    node.presence.heard(loop_.now());
+    node.presence.record_activity(loop_.now());
     std::vector<SessionId> waiting;
     for (const auto& [id, open] : c.open)
         if (!open.written) waiting.push_back(id);
@@ -256,7 +257,7 @@
 
 void RelayNodes::write_set_up(Connection& c, SessionId session) {
     Connection::Open& open = c.open.at(session);
-    const core::SetUp& what = open.what;
+    const core::SetupRequest& what = open.what;
     // The list may have changed while the connection came up: nothing new goes to a node that drains.
     if (!c.node.listed || !c.node.known.ready || what.expires <= loop_.now())
         return set_up_over(c, session, Outcome::not_sent, {});
@@ -266,11 +267,11 @@
     const auto put = [&](Code code, std::string text) {
         m.parameters[static_cast<int>(code)] = std::move(text);
     };
-    put(Code::cls, what.ask.cls_name);
-    put(Code::title, what.ask.title_name);
+    put(Code::cls, what.request.cls_name);
+    put(Code::title, what.request.title_name);
     put(Code::wait, std::to_string(std::max(1LL, std::llround(what.expires - loop_.now()))));
     put(Code::rung, std::to_string(what.rung));
-    put(Code::sdp, what.ask.description);
+    put(Code::sdp, what.request.description);
     open.written = true;
     counts_.set_ups += 1;
     write(c, m);
@@ -285,7 +286,8 @@
     lose(c);  // owned by dead_ until this returns to the loop
     counts_.resets += came_up;
     // Our own want of descriptors tells nothing of the node.
-    const bool lost = !came_up && !no_room && node.presence.dial_failed(c.dialled, loop_.now(), refused);
+    const bool lost =
+        !came_up && !no_room && node.presence.record_dial_failure(c.dialled, loop_.now(), refused);
     while (!c.open.empty()) {
         const bool written = c.open.begin()->second.written;
         set_up_over(c, c.open.begin()->first,
@@ -329,12 +331,12 @@
 }
 void RelayNodes::watch(Node& node) {
     const ServerId id = node.id;
-    node.watch = loop_.at(node.presence.look_at(loop_.now()), [this, id] {
+    node.watch = loop_.at(node.presence.next_check_at(loop_.now()), [this, id] {
         Node* n = find(id);
         if (!n || n->standing.empty() || !n->listed) return;
         const bool dialling =
             std::any_of(n->connections.begin(), n->connections.end(), [](const auto& c) { return !c->up; });
-        if (n->presence.silent(loop_.now()) && !dialling) dial(*n).watching = true;
+        if (n->presence.is_silent(loop_.now()) && !dialling) dial(*n).watching = true;
         watch(*n);
     });
 }
@@ -351,7 +353,7 @@
         NodeMessage m;
         m.type = Type::release, m.session = session, m.cause = relay::kCauseGivenUp;
         tell(node, m);
-        events_->over(session, one.attempt, Outcome::reset, {});
+        events_->on_attempt_ended(session, one.attempt, Outcome::reset, {});
     }
 }
 
@@ -374,10 +376,11 @@
 
 // ---- The engine's calls ----
 
-void RelayNodes::set_up(const core::SetUp& what) {
+void RelayNodes::set_up(const core::SetupRequest& what) {
     Node* node = find(what.server);
     if (!node || !node->listed || !node->known.ready) {
-        loop_.post([this, what] { events_->over(what.session, what.attempt, Outcome::not_sent, {}); });
+        loop_.post(
+            [this, what] { events_->on_attempt_ended(what.session, what.attempt, Outcome::not_sent, {}); });
         return;
     }
     Connection* c = idle(*node, true);
@@ -387,7 +390,9 @@
             if (!one->testing && !one->ending && (!c || one->open.size() < c->open.size())) c = one.get();
         if (!c) {
             // Nothing has left, and the node is not to blame.
-            loop_.post([this, what] { events_->over(what.session, what.attempt, Outcome::not_sent, {}); });
+            loop_.post([this, what] {
+                events_->on_attempt_ended(what.session, what.attempt, Outcome::not_sent, {});
+            });
             return;
         }
         counts_.shared += 1;
@@ -412,11 +417,11 @@
 }
 
 void RelayNodes::set_up_over(Connection& c, SessionId session, Outcome outcome, const LoadReport& report) {
-    const core::SetUp what = std::move(c.open.at(session).what);
+    const core::SetupRequest what = std::move(c.open.at(session).what);
     c.open.erase(session);
     // Never from within a call of the engine's.
     loop_.post([this, session = what.session, attempt = what.attempt, outcome, report] {
-        events_->over(session, attempt, outcome, report);
+        events_->on_attempt_ended(session, attempt, outcome, report);
     });
 }
 
@@ -448,7 +453,8 @@
     Node* node = find(server);
     if (!node || !node->standing.erase(session)) return;
     tell_end(*node, Type::move, session);
-    loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::cancelled, {}); });
+    loop_.post(
+        [this, session, attempt] { events_->on_attempt_ended(session, attempt, Outcome::cancelled, {}); });
     keep_up(*node);
 }
 
@@ -471,20 +477,21 @@
     }
     if (!node->standing.erase(session)) return;
     tell_end(*node, Type::release, session);
-    loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::cancelled, {}); });
+    loop_.post(
+        [this, session, attempt] { events_->on_attempt_ended(session, attempt, Outcome::cancelled, {}); });
     keep_up(*node);
 }
 
 void RelayNodes::probe(ServerId server) {
     Node* node = find(server);
     if (!node || !node->listed) {
-        loop_.post([this, server] { events_->probed(server, Outcome::not_connected, 0, {}); });
+        loop_.post([this, server] { events_->on_probe_result(server, Outcome::not_connected, 0, {}); });
         return;
     }
     Connection* c = idle(*node, true);
     const bool up = c != nullptr;
     if (!c && !room()) {  // no word of the node
-        loop_.post([this, server] { events_->probed(server, Outcome::full, 0, {}); });
+        loop_.post([this, server] { events_->on_probe_result(server, Outcome::full, 0, {}); });
         return;
     }
     if (!c) c = &dial(*node);
@@ -508,7 +515,7 @@
     c.testing = false;
     c.test_timer.stop();
     loop_.post([this, server = c.node.id, outcome, waited = loop_.now() - c.tested, report] {
-        events_->probed(server, outcome, waited, report);
+        events_->on_probe_result(server, outcome, waited, report);
     });
 }
 
@@ -530,7 +537,7 @@
 }
 
 void RelayNodes::heard(Connection& c, std::string_view bytes) {
-    c.node.presence.heard(loop_.now());
+    c.node.presence.record_activity(loop_.now());
     c.node.redial_wait = kRedial;  // a connection that only comes up is no sign that the next will last
     c.used = loop_.now();
     if (std::exchange(c.node.end_unanswered, false)) {
@@ -556,7 +563,7 @@
     const int attempt = it->second.attempt;
     node.standing.erase(it);
     keep_up(node);
-    events_->over(session, attempt, outcome, report);
+    events_->on_attempt_ended(session, attempt, outcome, report);
 }
 
 // The answer to a set-up that is open on the connection; false: it can't be used.
@@ -569,13 +576,13 @@
     }
     Node& node = c.node;
     const auto open = c.open.find(m.session);
-    const core::SetUp what = std::move(open->second.what);
+    const core::SetupRequest what = std::move(open->second.what);
     c.open.erase(open);
     node.standing[what.session] = {what.attempt};
     keep_up(node);
     core::Media media;
     media.description = *sdp;
-    events_->started(what.session, what.attempt, media);
+    events_->on_attempt_started(what.session, what.attempt, media);
     return true;
 }
 
@@ -643,7 +650,7 @@
                                   : *what == "asked" ? NoteKind::link
                                   : *what == "rack"  ? NoteKind::uplink
                                                      : NoteKind::other;
-            return events_->note(m.session, standing->second.attempt, node.id, kind, *value);
+            return events_->on_session_note(m.session, standing->second.attempt, node.id, kind, *value);
         }
         case Type::progress:
         case Type::released:
--- a/src/nodes/relay/nodes.hpp
+++ b/src/nodes/relay/nodes.hpp
@@ -19,7 +19,7 @@
 #include <set>
 
 #include "core/ports.hpp"
-#include "decide/presence.hpp"
+#include "decide/failure_detector.hpp"
 #include "io/loop.hpp"
 #include "relay/message.hpp"
 
@@ -53,12 +53,12 @@
     // A session that stands there already.
     void adopt(ServerId server, SessionId session, int attempt);
 
-    void set_up(const core::SetUp& what) override;
+    void set_up(const core::SetupRequest& what) override;
     void set_rung(ServerId server, SessionId session, int attempt, int rung) override;
     void move(ServerId server, SessionId session, int attempt) override;
     void cancel(ServerId server, SessionId session, int attempt) override;
     void probe(ServerId server) override;
-    bool cancel_is_final() const override { return true; }
+    bool is_cancel_final() const override { return true; }
 
     // All that is written has left, and no node has yet to hear of an end.
     bool drained() const;
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 struct FakeNodes : NodePort {
-    std::vector<SetUp> set_ups;
+    std::vector<SetupRequest> set_ups;
     std::vector<std::pair<SessionId, int>> rungs, moves, cancels;
     std::vector<ServerId> probes;
-    void set_up(const SetUp& what) override { set_ups.push_back(what); }
+    void set_up(const SetupRequest& what) override { set_ups.push_back(what); }
     void set_rung(ServerId, SessionId s, int, int rung) override { rungs.emplace_back(s, rung); }
     void move(ServerId, SessionId s, int attempt) override { moves.emplace_back(s, attempt); }
     std::function<void(SessionId, int)> at_cancel;
@@ -25,13 +25,13 @@
     }
     void probe(ServerId server) override { probes.push_back(server); }
 };
-struct FakeWaiter : Waiter {
+struct FakeAnswerHandler : AnswerHandler {
     std::vector<Answer> heard;
     Placement where;
     Time retry_after = -1;
-    void plays(const Placement& w) override { heard.push_back(Answer::plays), where = w; }
-    void refused(Time after) override { heard.push_back(Answer::refused), retry_after = after; }
-    void failed() override { heard.push_back(Answer::failed); }
+    void on_established(const Placement& w) override { heard.push_back(Answer::established), where = w; }
+    void on_rejected(Time after) override { heard.push_back(Answer::rejected), retry_after = after; }
+    void on_failed() override { heard.push_back(Answer::failed); }
 };
 
 Settings small() {
@@ -65,72 +65,72 @@
     std::vector<SessionRecord> ended;
     void SetUp() override {
         engine = std::make_unique<Engine>(loop, settings, 7, nodes, nullptr);
-        engine->on_end = [this](const SessionRecord& r) { ended.push_back(r); };
+        engine->on_session_record = [this](const SessionRecord& r) { ended.push_back(r); };
         ServerList list;
         for (ServerId id : {1, 2, 3}) {
             ServerEntry e;
             e.id = id, e.weight = 1;
             list.entries.push_back(e);
         }
-        engine->take_list(list);
+        engine->update_server_list(list);
     }
-    Ask ask(const std::string& sid, int cls) {
-        Ask a;
+    ViewerRequest ask(const std::string& sid, int cls) {
+        ViewerRequest a;
         a.sid = sid, a.cls = cls, a.title_name = "title", a.title = 9, a.top_rung = 2;
         return a;
     }
 };
 
 TEST_F(EngineTest, PlaysAndEnds) {
-    FakeWaiter w;
-    const SessionId id = engine->open(ask("a", 0), &w);
+    FakeAnswerHandler w;
+    const SessionId id = engine->open_session(ask("a", 0), &w);
     ASSERT_EQ(nodes.set_ups.size(), 1u);
     EXPECT_TRUE(nodes.set_ups[0].paid);
-    engine->started(id, 0, {"http://n/m/", {}});
-    ASSERT_EQ(w.heard, std::vector<Answer>{Answer::plays});
+    engine->on_attempt_started(id, 0, {"http://n/m/", {}});
+    ASSERT_EQ(w.heard, std::vector<Answer>{Answer::established});
     EXPECT_EQ(w.where.media.url, "http://n/m/");
-    EXPECT_EQ(engine->playing(), 1u);
+    EXPECT_EQ(engine->established_sessions(), 1u);
     world.run_until(20000);
-    engine->over(id, 0, Outcome::ended, {});
+    engine->on_attempt_ended(id, 0, Outcome::ended, {});
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0].ended_by, "node");
     EXPECT_EQ(engine->open_sessions(), 0u);
     EXPECT_EQ(w.heard.size(), 1u);
 }
 TEST_F(EngineTest, TheSameSidTwiceIsOneSetUpAndTwoAnswers) {
-    FakeWaiter first, second, third;
-    const SessionId id = engine->open(ask("a", 0), &first);
-    EXPECT_EQ(engine->open(ask("a", 0), &second), id);
+    FakeAnswerHandler first, second, third;
+    const SessionId id = engine->open_session(ask("a", 0), &first);
+    EXPECT_EQ(engine->open_session(ask("a", 0), &second), id);
     EXPECT_EQ(nodes.set_ups.size(), 1u);
-    engine->started(id, 0, {"http://n/m/", {}});
+    engine->on_attempt_started(id, 0, {"http://n/m/", {}});
     EXPECT_EQ(first.heard.size(), 1u);
     EXPECT_EQ(second.heard.size(), 1u);
-    engine->open(ask("a", 0), &third);
-    EXPECT_EQ(third.heard, std::vector<Answer>{Answer::plays});
+    engine->open_session(ask("a", 0), &third);
+    EXPECT_EQ(third.heard, std::vector<Answer>{Answer::established});
     EXPECT_EQ(third.where.media.url, "http://n/m/");
     EXPECT_EQ(nodes.set_ups.size(), 1u);
-    EXPECT_EQ(engine->counts().taken, 1u);
+    EXPECT_EQ(engine->counts().accepted, 1u);
 }
 TEST_F(EngineTest, AnotherSidOrTitleIsAnotherSession) {
-    FakeWaiter a, b, c;
-    Ask other = ask("a", 0);
+    FakeAnswerHandler a, b, c;
+    ViewerRequest other = ask("a", 0);
     other.title_name = "else";
-    engine->open(ask("a", 0), &a);
-    engine->open(ask("b", 0), &b);
-    engine->open(other, &c);
+    engine->open_session(ask("a", 0), &a);
+    engine->open_session(ask("b", 0), &b);
+    engine->open_session(other, &c);
     EXPECT_EQ(nodes.set_ups.size(), 3u);
 }
 TEST_F(EngineTest, EveryOutcomeOfAPaidSetUpKeepsTheRule) {
     for (const Outcome outcome : {Outcome::error, Outcome::full, Outcome::not_connected, Outcome::reset,
                                   Outcome::cancelled, Outcome::not_sent}) {
         SCOPED_TRACE(name(outcome));
-        FakeWaiter w;
+        FakeAnswerHandler w;
         nodes.set_ups.clear();
-        const SessionId id = engine->open(ask(name(outcome), 0), &w);
+        const SessionId id = engine->open_session(ask(name(outcome), 0), &w);
         ASSERT_EQ(nodes.set_ups.size(), 1u);
-        engine->over(id, 0, outcome, {});
+        engine->on_attempt_ended(id, 0, outcome, {});
         if (proves_never_ran(outcome)) {
-            EXPECT_TRUE(nodes.set_ups.size() == 2 || w.heard == std::vector<Answer>{Answer::refused});
+            EXPECT_TRUE(nodes.set_ups.size() == 2 || w.heard == std::vector<Answer>{Answer::rejected});
         } else {
             EXPECT_EQ(nodes.set_ups.size(), 1u) << "sent again, though it may have run";
             EXPECT_EQ(w.heard, std::vector<Answer>{Answer::failed});
@@ -140,30 +140,30 @@
     }
 }
 TEST_F(EngineTest, ASilentNodeEndsInOneFailureInTime) {
-    FakeWaiter w;
-    engine->open(ask("a", 0), &w);
+    FakeAnswerHandler w;
+    engine->open_session(ask("a", 0), &w);
     world.run_until(5040);
     EXPECT_EQ(w.heard, std::vector<Answer>{Answer::failed});
     EXPECT_EQ(nodes.set_ups.size(), 1u);
     EXPECT_EQ(nodes.cancels.size(), 1u);
     EXPECT_EQ(engine->open_sessions(), 0u);
-    EXPECT_EQ(engine->counts().late, 0u);
+    EXPECT_EQ(engine->counts().missed_deadlines, 0u);
 }
 TEST_F(EngineTest, AnAnswerAfterItsTimeIsNoAnswer) {
-    FakeWaiter w;
-    const SessionId id = engine->open(ask("a", 1), &w);
+    FakeAnswerHandler w;
+    const SessionId id = engine->open_session(ask("a", 1), &w);
     world.run_until(3000);  // the first attempt has timed out
     const std::size_t sent = nodes.set_ups.size();
     EXPECT_GE(sent, 2u);
-    engine->started(id, 0, {"http://late/", {}});
-    engine->over(id, 0, Outcome::error, {});
-    EXPECT_TRUE(w.heard.empty() || w.heard.front() != Answer::plays);
+    engine->on_attempt_started(id, 0, {"http://late/", {}});
+    engine->on_attempt_ended(id, 0, Outcome::error, {});
+    EXPECT_TRUE(w.heard.empty() || w.heard.front() != Answer::established);
     world.run_until(10000);
     EXPECT_EQ(w.heard.size(), 1u);
 }
 TEST_F(EngineTest, NeverTwoAttemptsOutAtOnce) {
-    FakeWaiter w;
-    engine->open(ask("a", 1), &w);
+    FakeAnswerHandler w;
+    engine->open_session(ask("a", 1), &w);
     world.run_until(10000);
     for (std::size_t k = 1; k < nodes.set_ups.size(); ++k)
         EXPECT_GE(nodes.cancels.size(), k) << "attempt " << k << " went out before the last was over";
@@ -171,23 +171,23 @@
     EXPECT_EQ(w.heard.size(), 1u);
 }
 TEST_F(EngineTest, AViewerWhoLeavesIsOwedNothing) {
-    FakeWaiter w;
-    const SessionId id = engine->open(ask("a", 0), &w);
-    engine->leave(id, &w);
+    FakeAnswerHandler w;
+    const SessionId id = engine->open_session(ask("a", 0), &w);
+    engine->withdraw_request(id, &w);
     EXPECT_EQ(engine->counts().abandoned, 1u);
     EXPECT_EQ(engine->open_sessions(), 1u) << "its attempt is still out";
-    engine->started(id, 0, {"http://n/m/", {}});
+    engine->on_attempt_started(id, 0, {"http://n/m/", {}});
     EXPECT_TRUE(w.heard.empty());
-    engine->over(id, 0, Outcome::ended, {});
+    engine->on_attempt_ended(id, 0, Outcome::ended, {});
     EXPECT_EQ(engine->open_sessions(), 0u);
-    engine->leave(id, &w);  // once more: no harm
+    engine->withdraw_request(id, &w);  // once more: no harm
 }
 TEST_F(EngineTest, OneOfTwoWhoLeavesDoesNotAbandonTheOther) {
-    FakeWaiter first, second;
-    const SessionId id = engine->open(ask("a", 0), &first);
-    engine->open(ask("a", 0), &second);
-    engine->leave(id, &first);
-    engine->started(id, 0, {"http://n/m/", {}});
+    FakeAnswerHandler first, second;
+    const SessionId id = engine->open_session(ask("a", 0), &first);
+    engine->open_session(ask("a", 0), &second);
+    engine->withdraw_request(id, &first);
+    engine->on_attempt_started(id, 0, {"http://n/m/", {}});
     EXPECT_TRUE(first.heard.empty());
     EXPECT_EQ(second.heard.size(), 1u);
 }
@@ -199,129 +199,132 @@
     }
 };
 TEST_F(SeatTest, ATimedOutSetUpHoldsItsSeatUntilItIsReleased) {
-    FakeWaiter first, second, third;
-    const SessionId id = engine->open(ask("a", 0), &first);
+    FakeAnswerHandler first, second, third;
+    const SessionId id = engine->open_session(ask("a", 0), &first);
     world.run_until(5030);
     ASSERT_EQ(first.heard, std::vector<Answer>{Answer::failed});
-    EXPECT_EQ(engine->doubtful(), 1u);
-    engine->open(ask("b", 0), &second);
-    EXPECT_EQ(second.heard, std::vector<Answer>{Answer::refused});
-    engine->released(id, 0);
-    engine->released(id, 0);  // told twice: no harm
-    EXPECT_EQ(engine->doubtful(), 0u);
-    engine->open(ask("c", 0), &third);
+    EXPECT_EQ(engine->unreleased_attempts(), 1u);
+    engine->open_session(ask("b", 0), &second);
+    EXPECT_EQ(second.heard, std::vector<Answer>{Answer::rejected});
+    engine->on_attempt_released(id, 0);
+    engine->on_attempt_released(id, 0);  // told twice: no harm
+    EXPECT_EQ(engine->unreleased_attempts(), 0u);
+    engine->open_session(ask("c", 0), &third);
     EXPECT_EQ(nodes.set_ups.size(), 2u);
     EXPECT_TRUE(third.heard.empty());
 }
 TEST_F(SeatTest, TheSessionsOwnFurtherAttemptDoesNotTakeASecondSeat) {
-    FakeWaiter w;
-    engine->open(ask("a", 1), &w);  // may be sent again; its first attempt gets no answer
+    FakeAnswerHandler w;
+    engine->open_session(ask("a", 1), &w);  // may be sent again; its first attempt gets no answer
     world.run_until(5030);
     EXPECT_EQ(nodes.set_ups.size(), 1u);
-    EXPECT_EQ(w.heard, std::vector<Answer>{Answer::refused});
+    EXPECT_EQ(w.heard, std::vector<Answer>{Answer::rejected});
 }
 TEST_F(SeatTest, APlayingSessionLostInSilenceHoldsItsSeat) {
-    FakeWaiter first, second, third;
-    const SessionId id = engine->open(ask("a", 0), &first);
-    engine->started(id, 0, {"http://n/m/", {}});
-    engine->lost(id, 0, Outcome::reset);
+    FakeAnswerHandler first, second, third;
+    const SessionId id = engine->open_session(ask("a", 0), &first);
+    engine->on_attempt_started(id, 0, {"http://n/m/", {}});
+    engine->on_attempt_lost(id, 0, Outcome::reset);
     EXPECT_EQ(engine->open_sessions(), 0u);
-    engine->open(ask("b", 0), &second);
-    EXPECT_EQ(second.heard, std::vector<Answer>{Answer::refused});
-    engine->released(id, 0);
-    engine->open(ask("c", 0), &third);
+    engine->open_session(ask("b", 0), &second);
+    EXPECT_EQ(second.heard, std::vector<Answer>{Answer::rejected});
+    engine->on_attempt_released(id, 0);
+    engine->open_session(ask("c", 0), &third);
     EXPECT_TRUE(third.heard.empty());
 }
 TEST_F(SeatTest, ACancelledAttemptReleasedAtOnceLeavesNothing) {
     nodes.at_cancel = [this](SessionId s, int attempt) {
-        loop.post([this, s, attempt] { engine->released(s, attempt); });
+        loop.post([this, s, attempt] { engine->on_attempt_released(s, attempt); });
     };
-    FakeWaiter w;
-    engine->open(ask("a", 0), &w);
+    FakeAnswerHandler w;
+    engine->open_session(ask("a", 0), &w);
     world.run_until(10000);
-    EXPECT_EQ(engine->doubtful(), 0u);
+    EXPECT_EQ(engine->unreleased_attempts(), 0u);
     EXPECT_EQ(engine->open_sessions(), 0u);
 }
 TEST_F(EngineTest, AnEndedSidThatComesBackIsReturning) {
-    FakeWaiter w, again;
-    const SessionId id = engine->open(ask("a", 0), &w);
-    engine->started(id, 0, {"http://n/m/", {}});
-    engine->over(id, 0, Outcome::reset, {});
-    const SessionId next = engine->open(ask("a", 0), &again);
+    FakeAnswerHandler w, again;
+    const SessionId id = engine->open_session(ask("a", 0), &w);
+    engine->on_attempt_started(id, 0, {"http://n/m/", {}});
+    engine->on_attempt_ended(id, 0, Outcome::reset, {});
+    const SessionId next = engine->open_session(ask("a", 0), &again);
     EXPECT_NE(next, id);
-    engine->started(next, 0, {"http://n/m2/", {}});
-    engine->over(next, 0, Outcome::ended, {});
+    engine->on_attempt_started(next, 0, {"http://n/m2/", {}});
+    engine->on_attempt_ended(next, 0, Outcome::ended, {});
     ASSERT_EQ(ended.size(), 2u);
     EXPECT_FALSE(ended[0].returning);
     EXPECT_TRUE(ended[1].returning);
 }
 TEST_F(EngineTest, ABrokenInvariantFailsItsSessionAlone) {
     EngineLimits limits;
-    limits.raise_slips = false;
+    limits.throw_on_violation = false;
     engine = std::make_unique<Engine>(loop, settings, 7, nodes, nullptr, limits);
     std::vector<std::string> told;
     std::vector<SessionId> gone;
-    engine->on_slip = [&](const std::string& history) { told.push_back(history); };
-    engine->on_gone = [&](SessionId id, bool owed, bool) {
+    engine->on_invariant_violation = [&](const std::string& history) { told.push_back(history); };
+    engine->on_session_terminated = [&](SessionId id, bool owed, bool) {
         if (owed) gone.push_back(id);
     };
-    engine->on_end = [this](const SessionRecord& record) { ended.push_back(record); };
+    engine->on_session_record = [this](const SessionRecord& record) { ended.push_back(record); };
     ServerList list;
     ServerEntry entry;
     entry.id = 1, entry.weight = 1;
     list.entries.push_back(entry);
-    engine->take_list(list);
-    FakeWaiter broken, other;
-    const SessionId first = engine->open(ask("a", 0), &broken), second = engine->open(ask("b", 0), &other);
-    engine->started(first, 0, {"http://n/m/", {}});
-    engine->started(first, 0, {"http://n/m/", {}});
+    engine->update_server_list(list);
+    FakeAnswerHandler broken, other;
+    const SessionId first = engine->open_session(ask("a", 0), &broken),
+                    second = engine->open_session(ask("b", 0), &other);
+    engine->on_attempt_started(first, 0, {"http://n/m/", {}});
+    engine->on_attempt_started(first, 0, {"http://n/m/", {}});
     ASSERT_EQ(told.size(), 1u);
     EXPECT_NE(told[0].find("started, though no attempt is out"), std::string::npos);
-    EXPECT_EQ(engine->counts().slips, 1u);
-    EXPECT_EQ(broken.heard, std::vector<Answer>{Answer::plays}) << "answered once";
+    EXPECT_EQ(engine->counts().invariant_violations, 1u);
+    EXPECT_EQ(broken.heard, std::vector<Answer>{Answer::established}) << "answered once";
     EXPECT_EQ(gone, std::vector<SessionId>{first}) << "its client is told that it is over";
     EXPECT_EQ(nodes.cancels, (std::vector<std::pair<SessionId, int>>{{first, 0}})) << "and so is its node";
-    EXPECT_FALSE(engine->knows(first));
-    engine->started(second, 0, {"http://n/m/", {}});
-    EXPECT_EQ(other.heard, std::vector<Answer>{Answer::plays});
-    EXPECT_EQ(engine->playing(), 1u);
+    EXPECT_FALSE(engine->has_session(first));
+    engine->on_attempt_started(second, 0, {"http://n/m/", {}});
+    EXPECT_EQ(other.heard, std::vector<Answer>{Answer::established});
+    EXPECT_EQ(engine->established_sessions(), 1u);
     EXPECT_EQ(ended.size(), 1u);
 }
 
 TEST_F(EngineTest, ManySessionsWithRandomEndingsAreEachAnsweredOnce) {
     std::mt19937_64 random(11);
-    std::vector<std::unique_ptr<FakeWaiter>> waiters;
+    std::vector<std::unique_ptr<FakeAnswerHandler>> waiters;
     std::vector<io::Timer> timers;
     std::size_t seen = 0;
     nodes.at_cancel = [&](SessionId s, int attempt) {
         timers.push_back(loop.after(static_cast<double>(random() % 3000),
-                                    [this, s, attempt] { engine->released(s, attempt); }));
+                                    [this, s, attempt] { engine->on_attempt_released(s, attempt); }));
     };
     for (int k = 0; k < 1500; ++k) {
-        waiters.push_back(std::make_unique<FakeWaiter>());
-        engine->open(ask("s" + std::to_string(k), static_cast<int>(random() % 2)), waiters.back().get());
+        waiters.push_back(std::make_unique<FakeAnswerHandler>());
+        engine->open_session(ask("s" + std::to_string(k), static_cast<int>(random() % 2)),
+                             waiters.back().get());
         for (; seen < nodes.set_ups.size(); ++seen) {
             const auto s = nodes.set_ups[seen];
             const double after = static_cast<double>(random() % 600);
             const unsigned how = random() % 8;
             if (how == 7) continue;  // lost
             timers.push_back(loop.after(after, [this, s, how] {
-                if (how < 4) engine->started(s.session, s.attempt, {"http://n/", {}});
-                else engine->over(s.session, s.attempt, static_cast<Outcome>(how - 3), {});
+                if (how < 4) engine->on_attempt_started(s.session, s.attempt, {"http://n/", {}});
+                else engine->on_attempt_ended(s.session, s.attempt, static_cast<Outcome>(how - 3), {});
+            }));
+            timers.push_back(loop.after(after + 3000, [this, s] {
+                engine->on_attempt_ended(s.session, s.attempt, Outcome::ended, {});
             }));
-            timers.push_back(loop.after(
-                after + 3000, [this, s] { engine->over(s.session, s.attempt, Outcome::ended, {}); }));
         }
         world.run_until(world.now() + 150);
     }
     world.run_until(world.now() + 60000);
     for (const auto& w : waiters) EXPECT_EQ(w->heard.size(), 1u);
-    const Counts& c = engine->counts();
-    EXPECT_EQ(c.taken, c.played + c.refused + c.failed + c.abandoned);
+    const EngineCounts& c = engine->counts();
+    EXPECT_EQ(c.accepted, c.established + c.rejected + c.failed + c.abandoned);
     EXPECT_EQ(engine->open_sessions(), 0u);
-    EXPECT_EQ(engine->playing(), 0u);
-    EXPECT_EQ(engine->doubtful(), 0u);
-    EXPECT_EQ(c.late, 0u);
+    EXPECT_EQ(engine->established_sessions(), 0u);
+    EXPECT_EQ(engine->unreleased_attempts(), 0u);
+    EXPECT_EQ(c.missed_deadlines, 0u);
     EXPECT_GT(c.retries, 20u);
 }
 
--- a/tests/fronts/front_test.cpp
+++ b/tests/fronts/front_test.cpp
@@ -179,7 +179,7 @@
     all.push_back(ask("prep", "", over_long));
     run(500);
     for (const auto& one : all) EXPECT_EQ(one->result.response.status, 200);
-    EXPECT_EQ(director->engine().counts().taken, 4u);
+    EXPECT_EQ(director->engine().counts().accepted, 4u);
     EXPECT_EQ(director->front().counts().sids_made, 4u);
     EXPECT_GT(director->front().counts().hints_dropped, 3u);
 }
@@ -279,7 +279,7 @@
     nodes[lost]->crash();
     EXPECT_EQ(fetch(where).end, http::CallEnd::not_connected);
     run(3000);
-    EXPECT_EQ(director->engine().playing(), 0u);
+    EXPECT_EQ(director->engine().established_sessions(), 0u);
     EXPECT_EQ(director->engine().counts().reset, 1u);
     const auto b = ask("check", "sid=\"a\"");
     run(1000);
@@ -333,15 +333,15 @@
     io::VirtualLoop& again = world.start("director again");
     director = std::make_unique<cli::DirectorProcess>(again, config::load(config_text()).config, 4);
     for (int k = 0; k < 4; ++k) fetch(url), run(500);  // its viewer watches on
-    EXPECT_EQ(director->engine().counts().taken_back, 1u);
-    EXPECT_EQ(director->engine().playing(), 1u);
+    EXPECT_EQ(director->engine().counts().reclaimed, 1u);
+    EXPECT_EQ(director->engine().established_sessions(), 1u);
     // The same sid finds its session as it is: no second set-up of a paid class.
     const auto b = ask("check", "sid=\"a\"");
     run(300);
     EXPECT_EQ(media(b->result.response), url);
     EXPECT_EQ(count("ran"), 1);
     run(10000);
-    EXPECT_EQ(director->engine().playing(), 0u) << "its end was heard";
+    EXPECT_EQ(director->engine().established_sessions(), 0u) << "its end was heard";
     EXPECT_EQ(nodes[0]->sessions() + nodes[1]->sessions(), 0u);
     world.kill(again);
     director.reset();
@@ -357,7 +357,7 @@
     io::VirtualLoop& again = world.start("director again");
     director = std::make_unique<cli::DirectorProcess>(again, config::load(doc.dump()).config, 4);
     run(1000);
-    EXPECT_EQ(director->engine().counts().not_taken_back, 1u);
+    EXPECT_EQ(director->engine().counts().not_reclaimed, 1u);
     EXPECT_EQ(fetch(url).response.status, 410);
     world.kill(again);
     director.reset();
@@ -392,7 +392,7 @@
         EXPECT_TRUE(r.headers.get("Access-Control-Max-Age"));
     }
     EXPECT_EQ(preflight(kDirector, "/v1/watch/t/prep/title/master.m3u8", false).status, 405);
-    EXPECT_EQ(director->engine().counts().taken, 1u);
+    EXPECT_EQ(director->engine().counts().accepted, 1u);
     EXPECT_EQ(director->front().counts().preflights, 1u);
     // An error can be read by the page too.
     http::Request r;
@@ -418,7 +418,7 @@
         run(100);
         EXPECT_EQ(got, status) << target;
     }
-    EXPECT_EQ(director->engine().counts().taken, 0u);
+    EXPECT_EQ(director->engine().counts().accepted, 0u);
 }
 
 }  // namespace
--- a/tests/nodes/link_test.cpp
+++ b/tests/nodes/link_test.cpp
@@ -16,16 +16,16 @@
 struct Heard : core::NodeEvents {
     int started_ = 0, over_ = 0, lost_ = 0, released_ = 0, lives = 0;
     std::map<Outcome, int> outcomes;
-    void started(SessionId, int, const core::Media&) override { started_ += 1; }
-    void over(SessionId, int, Outcome outcome, const LoadReport&) override {
+    void on_attempt_started(SessionId, int, const core::Media&) override { started_ += 1; }
+    void on_attempt_ended(SessionId, int, Outcome outcome, const LoadReport&) override {
         over_ += 1, outcomes[outcome] += 1;
     }
-    void lost(SessionId, int, Outcome) override { lost_ += 1; }
-    void released(SessionId, int) override { released_ += 1; }
-    void note(SessionId, int, ServerId, NoteKind, double) override {}
-    bool found(const core::FoundPlaying&) override { return false; }
-    void life(ServerId, Time) override { lives += 1; }
-    void probed(ServerId, Outcome, Time, const LoadReport&) override {}
+    void on_attempt_lost(SessionId, int, Outcome) override { lost_ += 1; }
+    void on_attempt_released(SessionId, int) override { released_ += 1; }
+    void on_session_note(SessionId, int, ServerId, NoteKind, double) override {}
+    bool reclaim_session(const core::OrphanedSession&) override { return false; }
+    void on_node_incarnation(ServerId, Time) override { lives += 1; }
+    void on_probe_result(ServerId, Outcome, Time, const LoadReport&) override {}
 };
 
 struct ManyNodes : testing::Test {
@@ -76,9 +76,9 @@
         link.reset();
     }
     void set_up(ServerId server) {
-        core::SetUp what;
+        core::SetupRequest what;
         what.session = ++last, what.server = server;
-        what.ask.sid = "s" + std::to_string(last), what.ask.title_name = "t";
+        what.request.sid = "s" + std::to_string(last), what.request.title_name = "t";
         link->set_up(what);
     }
     void run(double ms) { world.run_until(world.now() + ms); }
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -51,7 +51,7 @@
     v.say(setup_line(6, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-9"));
     v.say(setup_line(7, "paid", 4294967));
     rig.run(300);
-    EXPECT_EQ(rig.director->engine().playing(), 1u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 1u);
     // A node that is not listed, and a wait without bound for one that does not play, are turned away.
     ASSERT_EQ(v.of(Type::release).size(), 2u);
     EXPECT_GE(rig.nodes[0]->open_links(), 1u) << "where sessions stand a connection is kept";
@@ -155,7 +155,7 @@
         EXPECT_FALSE(v.open) << line.substr(0, 20);
     }
     EXPECT_TRUE(rig.nodes[0]->of(Type::setup).empty());
-    EXPECT_EQ(rig.director->engine().counts().taken, 0u);
+    EXPECT_EQ(rig.director->engine().counts().accepted, 0u);
 }
 
 TEST(Relay, SilentConnectionsByTheHundredLeaveRoomForOthers) {
@@ -304,7 +304,7 @@
     for (auto& link : rig.nodes[0]->links) link.stream.reset();
     rig.run(300);
     EXPECT_EQ(v.of(Type::release).size(), 0u);
-    EXPECT_EQ(rig.director->engine().playing(), 1u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 1u);
     // The process dies: nobody listens.
     rig.nodes[0]->listener.reset();
     for (auto& link : rig.nodes[0]->links) link.stream.reset();
@@ -390,7 +390,7 @@
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     rig.nodes[0]->react = nullptr;  // hangs: connections still come up
     rig.run(20000);
-    EXPECT_EQ(rig.director->engine().playing(), 1u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 1u);
     EXPECT_LE(rig.nodes[0]->open_links(), 3u);
     rig.nodes[0]->listener->pause();  // no connection comes up
     rig.run(7500);
@@ -407,7 +407,7 @@
     rig.run(500);
     v.stream.reset();
     rig.run(50);
-    EXPECT_EQ(rig.director->engine().playing(), 3u) << "a session belongs to no connection";
+    EXPECT_EQ(rig.director->engine().established_sessions(), 3u) << "a session belongs to no connection";
     rig.nodes[0]->links.back().send(Type::release, 1, 16);
     rig.run(100);
     ASSERT_EQ(other.of(Type::release).size(), 1u);
@@ -572,7 +572,7 @@
         if (link.open) link.send(Type::release, 2, 31);
     rig.run(500);
     EXPECT_EQ(v.heard.size(), 2u);
-    EXPECT_EQ(rig.director->engine().playing(), 0u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 0u);
     EXPECT_EQ(rig.director->engine().counts().ends_crossing_answers, 1u) << "the first alone";
 }
 
@@ -717,7 +717,7 @@
         rig.run(1000);
         ASSERT_EQ(rig.nodes[0]->of(Type::release).size(), 1u) << crosses;
         EXPECT_EQ(rig.nodes[0]->of(Type::release)[0].session, 1u);
-        EXPECT_EQ(rig.director->engine().playing(), 0u);
+        EXPECT_EQ(rig.director->engine().established_sessions(), 0u);
     }
 }
 
@@ -767,7 +767,7 @@
         rig.run(20);
     }
     rig.run(3000);
-    EXPECT_EQ(rig.director->engine().owed(), 0u);
+    EXPECT_EQ(rig.director->engine().unanswered_sessions(), 0u);
     Viewer& next = rig.viewer();
     next.say(setup_line(id, "paid", 2000));
     rig.run(500);
@@ -839,22 +839,22 @@
     };
     Viewer& v = rig.viewer();
     std::vector<core::SessionRecord> ends;
-    rig.director->engine().on_end = [&](const core::SessionRecord& r) { ends.push_back(r); };
+    rig.director->engine().on_session_record = [&](const core::SessionRecord& r) { ends.push_back(r); };
     v.say(setup_line(1, "free one"));
     rig.run(2000);
     ASSERT_EQ(ends.size(), 1u);
-    ASSERT_GE(ends[0].tries.size(), 2u);
-    EXPECT_EQ(ends[0].tries[0].end, "timed out");
-    EXPECT_GE(ends[0].tries[0].waited, 250);
-    EXPECT_EQ(ends[0].tries[1].end, "error");
-    EXPECT_LT(ends[0].tries[1].waited, 50);
+    ASSERT_GE(ends[0].attempt_records.size(), 2u);
+    EXPECT_EQ(ends[0].attempt_records[0].outcome, "timed out");
+    EXPECT_GE(ends[0].attempt_records[0].elapsed, 250);
+    EXPECT_EQ(ends[0].attempt_records[1].outcome, "error");
+    EXPECT_LT(ends[0].attempt_records[1].elapsed, 50);
 }
 
 TEST(Relay, WhoEndedASessionIsWrittenDown) {
     Rig rig;
     Viewer& v = rig.viewer();
     std::vector<core::SessionRecord> ends;
-    rig.director->engine().on_end = [&](const core::SessionRecord& r) { ends.push_back(r); };
+    rig.director->engine().on_session_record = [&](const core::SessionRecord& r) { ends.push_back(r); };
     v.say(setup_line(1, "paid"));
     v.say(setup_line(2, "paid"));
     rig.run(500);
@@ -888,16 +888,16 @@
 struct Told : core::NodeEvents {
     std::vector<std::pair<SessionId, Outcome>> ends;
     int starts = 0;
-    void started(SessionId, int, const core::Media&) override { starts += 1; }
-    void over(SessionId id, int, Outcome outcome, const LoadReport&) override {
+    void on_attempt_started(SessionId, int, const core::Media&) override { starts += 1; }
+    void on_attempt_ended(SessionId id, int, Outcome outcome, const LoadReport&) override {
         ends.emplace_back(id, outcome);
     }
-    void lost(SessionId, int, Outcome) override {}
-    void released(SessionId, int) override {}
-    void note(SessionId, int, ServerId, NoteKind, double) override {}
-    bool found(const core::FoundPlaying&) override { return false; }
-    void life(ServerId, Time) override {}
-    void probed(ServerId, Outcome, Time, const LoadReport&) override {}
+    void on_attempt_lost(SessionId, int, Outcome) override {}
+    void on_attempt_released(SessionId, int) override {}
+    void on_session_note(SessionId, int, ServerId, NoteKind, double) override {}
+    bool reclaim_session(const core::OrphanedSession&) override { return false; }
+    void on_node_incarnation(ServerId, Time) override {}
+    void on_probe_result(ServerId, Outcome, Time, const LoadReport&) override {}
 };
 
 // Told that a node drains, or is gone, while a connection to it was coming up: nothing is sent on it.
@@ -912,7 +912,7 @@
         nodes::RelayNodes port(here, {});
         port.attach(&told);
         port.know({{1, {"s-0", at, true}}});
-        core::SetUp what;
+        core::SetupRequest what;
         what.session = 7, what.server = 1, what.expires = 1000;
         port.set_up(what);
         if (gone) port.know({});
@@ -953,12 +953,12 @@
     rig.run(700);
     late.say(setup_line(2, "paid", 3000));
     rig.run(20);
-    EXPECT_EQ(rig.director->engine().counts().taken, 2u) << "taken for 0.75 s";
+    EXPECT_EQ(rig.director->engine().counts().accepted, 2u) << "taken for 0.75 s";
     rig.run(100);
     const auto before = late.heard.size();
     late.say(setup_line(3, "paid", 3000));
     rig.run(20);
-    EXPECT_EQ(rig.director->engine().counts().taken, 2u);
+    EXPECT_EQ(rig.director->engine().counts().accepted, 2u);
     ASSERT_EQ(late.heard.size(), before + 1);
     EXPECT_EQ(late.heard.back().session, 3u);
     EXPECT_EQ(late.heard.back().cause, 34);
@@ -1068,7 +1068,7 @@
         EXPECT_TRUE(one.left || !one.viewer->open || answers + releases > 0) << id << " is lost";
     }
     EXPECT_EQ(rig.director->front().open(), 0u);
-    EXPECT_EQ(rig.director->engine().owed(), 0u);
+    EXPECT_EQ(rig.director->engine().unanswered_sessions(), 0u);
     EXPECT_LE(rig.director->nodes().connections(), 24u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RelayStorm, ::testing::Range(1, 101));
