--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -28,6 +28,7 @@
     }
     return "?";
 }
+
 const char* name(Outcome outcome) {
     switch (outcome) {
         case Outcome::ended:
@@ -52,16 +53,16 @@
 
 struct Engine::Session {
     SessionRecord record;
-    State state = State::held;
-    bool may_have_run = false;  // an attempt ended without proof that it never ran
-    bool hung_up = false;       // its viewer has ended it
-    bool moving = false;        // the module moves it: its player comes back for a new session
+    State state = State::queued;
+    bool may_have_run = false;          // an attempt ended without proof that it never ran
+    bool terminated_by_viewer = false;  // its viewer ended it
+    bool moving = false;                // leaving its node; its player asks for a new session
     int rung = 0, rung_sent = 0;
-    int attempt = -1;  // the one out or playing
+    int attempt = -1;  // the pending or established one; -1: none
     Media media;
-    std::vector<AnswerHandler*> waiters;
-    io::Timer deadline, expiry;
-    Time sent = 0;  // its last attempt
+    std::vector<AnswerHandler*> handlers;
+    io::Timer deadline_timer, attempt_timer;
+    Time sent_at = 0;  // when the last attempt was sent
     std::deque<std::string> history;
 };
 
@@ -70,201 +71,216 @@
     : loop_(loop),
       settings_(settings),
       nodes_(nodes),
-      list_(list),
+      server_list_(list),
       limits_(limits),
       director_(settings, seed),
-      // Ids of two lives of a director must not meet at a node: 20 bits of them are drawn at
-      // each start; 52 in all, so that JSON numbers hold them.
-      first_id_((seed & 0xfffffull) << 32),
-      last_id_(first_id_) {}
+      // Session ids of two incarnations of a director must not collide at a node, so the top 20 bits are
+      // drawn at each start. Ids have 52 bits in all, which JSON numbers represent exactly.
+      id_base_((seed & 0xfffffull) << 32),
+      last_id_(id_base_) {}
 Engine::~Engine() = default;
 
-// ---- Slips and history ----
+// ---- Invariant violations and history ----
 
-void Engine::remark(Session& s, std::string what) {
-    if (s.history.size() >= limits_.max_history_entries) s.history.pop_front();
-    s.history.push_back(std::to_string(loop_.now() - s.record.received_at) + " ms: " + std::move(what));
+void Engine::record_history(Session& session, std::string what) {
+    if (session.history.size() >= limits_.max_history_entries) session.history.pop_front();
+    session.history.push_back(std::to_string(loop_.now() - session.record.received_at) +
+                              " ms: " + std::move(what));
 }
-void Engine::slip(const Session& s, const std::string& what) const {
-    std::string text =
-        "session " + std::to_string(s.record.id) + " (sid \"" + s.record.request.sid + "\"): " + what;
-    for (const std::string& line : s.history) text += "\n  " + line;
-    throw InvariantViolation(s.record.id, text);
+
+void Engine::throw_violation(const Session& session, const std::string& what) const {
+    std::string text = "session " + std::to_string(session.record.id) + " (sid \"" +
+                       session.record.request.sid + "\"): " + what;
+    for (const std::string& line : session.history) text += "\n  " + line;
+    throw InvariantViolation(session.record.id, text);
 }
-Engine::Session& Engine::known(SessionId id, const char* action) {
+
+Engine::Session& Engine::require_session(SessionId id, const char* action) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end())
-        throw InvariantViolation(id, std::string("the module's ") + action + " names session " +
+        throw InvariantViolation(id, std::string("action ") + action + " names session " +
                                          std::to_string(id) + ", which is not open");
     return *it->second;
 }
 
-// Runs one step of one session's life.
+// Runs one step for one session. An invariant violation is rethrown or fails that session alone, as
+// EngineLimits::throw_on_violation says.
 template <typename Step>
-void Engine::contain_slips(const Step& step) {
+void Engine::contain_violations(const Step& step) {
     try {
         step();
-    } catch (const InvariantViolation& slip) {
+    } catch (const InvariantViolation& violation) {
         if (limits_.throw_on_violation) throw;
-        contain(slip);
+        handle_violation(violation);
     }
 }
 
-void Engine::contain(const InvariantViolation& slip) {
+void Engine::handle_violation(const InvariantViolation& violation) {
     counts_.invariant_violations += 1;
-    if (on_invariant_violation) on_invariant_violation(slip.what());
-    fail_broken(slip.session());
+    if (on_invariant_violation) on_invariant_violation(violation.what());
+    fail_session(violation.session());
 }
 
-// Its client has one answer, its node is told, module and tables forget it.
-void Engine::fail_broken(SessionId id) {
+// Ends a session after an invariant violation: answers its client if it has no answer yet, cancels its
+// attempt at the node, and removes it from the engine and the decision module.
+void Engine::fail_session(SessionId id) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end()) return;
-    Session& s = *it->second;
-    const bool established = s.record.answered && s.record.answer == Answer::established;
-    if (!s.record.answered) answer(s, Answer::failed);
-    s.expiry.stop();
+    Session& session = *it->second;
+    const bool established = session.record.answered && session.record.answer == Answer::established;
+    if (!session.record.answered) deliver_answer(session, Answer::failed);
+    session.attempt_timer.stop();
     AttemptOver over;
     over.id = id;
-    over.attempt = s.attempt;
+    over.attempt = session.attempt;
     over.outcome = Outcome::cancelled;
     over.session_over = true;
-    if (s.attempt >= 0) {
-        over.server = s.record.attempt_records.back().server;
-        s.record.attempt_records.back().outcome = name(Outcome::cancelled);
-        seat(s, -1);
-        if (s.state == State::playing) playing_ -= 1;
-        nodes_.cancel(over.server, id, s.attempt);
+    if (session.attempt >= 0) {
+        over.server = session.record.attempt_records.back().server;
+        session.record.attempt_records.back().outcome = name(Outcome::cancelled);
+        adjust_seat_count(session, -1);
+        if (session.state == State::established) established_count_ -= 1;
+        nodes_.cancel(over.server, id, session.attempt);
     }
-    if (established && on_session_terminated) on_session_terminated(id, !s.hung_up && !s.moving, false);
-    finish(id, "director");
-    if (over.attempt >= 0) feed(over);
-    else feed(SessionAbandoned{id});
+    if (established && on_session_terminated)
+        on_session_terminated(id, !session.terminated_by_viewer && !session.moving, false);
+    finish_session(id, "director");
+    if (over.attempt >= 0) dispatch_event(over);
+    else dispatch_event(SessionAbandoned{id});
 }
 
 // ---- Requests ----
 
-// Fields are cut with a byte that a sid cannot hold, so that no two asks share a key by accident.
-std::string Engine::key(const ViewerRequest& ask) const {
-    if (ask.preassigned_id) return std::to_string(*ask.preassigned_id);
-    return ask.sid + '\n' + std::to_string(ask.tenant) + '\n' + std::to_string(ask.cls) + '\n' +
-           ask.title_name;
+// The key under which requests join one session. Fields are separated by a byte that a sid cannot contain, so
+// that different requests never share a key.
+std::string Engine::make_request_key(const ViewerRequest& request) const {
+    if (request.preassigned_id) return std::to_string(*request.preassigned_id);
+    return request.sid + '\n' + std::to_string(request.tenant) + '\n' + std::to_string(request.cls) + '\n' +
+           request.title_name;
 }
 
-SessionId Engine::open_session(const ViewerRequest& ask, AnswerHandler* waiter) {
-    const std::string k = key(ask);
-    if (const auto it = by_key_.find(k); it != by_key_.end()) {
-        Session& s = *sessions_.at(it->second);
-        s.record.joined_requests += 1;
+SessionId Engine::open_session(const ViewerRequest& request, AnswerHandler* handler) {
+    const std::string key = make_request_key(request);
+    if (const auto it = session_by_key_.find(key); it != session_by_key_.end()) {
+        Session& session = *sessions_.at(it->second);
+        session.record.joined_requests += 1;
         counts_.joined += 1;
-        remark(s, "asked again");
-        if (s.state == State::playing) {
-            waiter->on_established({s.record.id, s.attempt, s.record.server, s.rung, s.media});
+        record_history(session, "joined by a repeated request");
+        if (session.state == State::established) {
+            handler->on_established(
+                {session.record.id, session.attempt, session.record.server, session.rung, session.media});
         } else {
-            s.waiters.push_back(waiter);
+            session.handlers.push_back(handler);
         }
-        return s.record.id;
+        return session.record.id;
     }
-    const SessionId id = ask.preassigned_id.value_or(last_id_ + 1);
-    if (!ask.preassigned_id) last_id_ = id;
+    const SessionId id = request.preassigned_id.value_or(last_id_ + 1);
+    if (!request.preassigned_id) last_id_ = id;
     auto owned = std::make_unique<Session>();
-    Session& s = *owned;
-    s.record.id = id;
-    s.record.request = ask;
-    s.record.received_at = loop_.now();
-    const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(ask.cls));
-    s.record.deadline = std::min(ask.preassigned_id ? ask.deadline : loop_.now() + cls.patience, answer_by_);
-    s.record.returning = ask.returning;
-    s.rung = cls.floor;
-    s.waiters.push_back(waiter);
-    if (const auto it = remembered_.find(k); it != remembered_.end() && it->second.until > loop_.now()) {
-        s.record.returning = true;
-        s.record.moved = it->second.moved;
+    Session& session = *owned;
+    session.record.id = id;
+    session.record.request = request;
+    session.record.received_at = loop_.now();
+    const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(request.cls));
+    session.record.deadline =
+        std::min(request.preassigned_id ? request.deadline : loop_.now() + cls.patience, answer_deadline_);
+    session.record.returning = request.returning;
+    session.rung = cls.floor;
+    session.handlers.push_back(handler);
+    if (const auto it = remembered_sids_.find(key);
+        it != remembered_sids_.end() && it->second.expires_at > loop_.now()) {
+        session.record.returning = true;
+        session.record.moved = it->second.moved;
     }
-    remark(s, "taken");
+    record_history(session, "request accepted");
     counts_.accepted += 1;
-    owed_ += 1;
+    unanswered_count_ += 1;
     sessions_.emplace(id, std::move(owned));
-    by_key_.emplace(k, id);
-    s.deadline = loop_.at(std::min(s.record.deadline + settings_.answer_slack / 2, answer_by_),
-                          [this, id] { deadline_passed(id); });
-    feed(request_of(s));
+    session_by_key_.emplace(key, id);
+    session.deadline_timer =
+        loop_.at(std::min(session.record.deadline + settings_.answer_slack / 2, answer_deadline_),
+                 [this, id] { handle_deadline(id); });
+    dispatch_event(make_session_request(session));
     return id;
 }
 
 void Engine::set_answer_deadline(Time last) {
-    answer_by_ = std::min(answer_by_, last);
-    for (const auto& [id, s] : sessions_) {
-        if (s->record.answered || s->record.deadline <= answer_by_) continue;
-        s->deadline = loop_.at(answer_by_, [this, id = id] { deadline_passed(id); });
+    answer_deadline_ = std::min(answer_deadline_, last);
+    for (const auto& [id, session] : sessions_) {
+        if (session->record.answered || session->record.deadline <= answer_deadline_) continue;
+        session->deadline_timer = loop_.at(answer_deadline_, [this, id = id] { handle_deadline(id); });
     }
 }
 
-SessionRequest Engine::request_of(const Session& s) const {
-    const ViewerRequest& ask = s.record.request;
+SessionRequest Engine::make_session_request(const Session& session) const {
+    const ViewerRequest& viewer_request = session.record.request;
     SessionRequest request;
-    request.id = s.record.id;
-    request.cls = ask.cls;
-    request.tenant = ask.tenant;
-    request.viewer = ask.preassigned_id ? ask.viewer : XXH64(ask.sid.data(), ask.sid.size(), 0);
-    request.title = ask.title;
-    request.deadline = s.record.deadline;
-    request.first_cell = ask.first_cell;
-    request.cell_count = ask.cell_count;
-    request.top_rung = ask.top_rung;
-    request.moved = s.record.moved;
-    request.returning = s.record.returning;
+    request.id = session.record.id;
+    request.cls = viewer_request.cls;
+    request.tenant = viewer_request.tenant;
+    request.viewer = viewer_request.preassigned_id
+                         ? viewer_request.viewer
+                         : XXH64(viewer_request.sid.data(), viewer_request.sid.size(), 0);
+    request.title = viewer_request.title;
+    request.deadline = session.record.deadline;
+    request.first_cell = viewer_request.first_cell;
+    request.cell_count = viewer_request.cell_count;
+    request.top_rung = viewer_request.top_rung;
+    request.moved = session.record.moved;
+    request.returning = session.record.returning;
     return request;
 }
 
-void Engine::withdraw_request(SessionId id, AnswerHandler* waiter) {
+void Engine::withdraw_request(SessionId id, AnswerHandler* handler) {
     const auto it = sessions_.find(id);
     if (it == sessions_.end()) return;
-    Session& s = *it->second;
-    auto& w = s.waiters;
-    const auto found = std::find(w.begin(), w.end(), waiter);
-    if (found == w.end()) return;
-    w.erase(found);
-    if (!w.empty() || s.record.answered) return;
-    remark(s, "the last who waited has left");
-    answer(s, Answer::abandoned);
-    if (s.state == State::held) finish(id, "player");
-    else s.state = State::left;
-    nobody_waits(id);
-}
-
-void Engine::nobody_waits(SessionId id) {
-    feed(SessionAbandoned{id});
-    // Where its node can be told, it is: the set-up is of no use to anyone now.
+    Session& session = *it->second;
+    auto& handlers = session.handlers;
+    const auto found = std::find(handlers.begin(), handlers.end(), handler);
+    if (found == handlers.end()) return;
+    handlers.erase(found);
+    if (!handlers.empty() || session.record.answered) return;
+    record_history(session, "abandoned: the last waiting request was withdrawn");
+    deliver_answer(session, Answer::abandoned);
+    if (session.state == State::queued) finish_session(id, "player");
+    else session.state = State::abandoned;
+    abandon_session(id);
+}
+
+void Engine::abandon_session(SessionId id) {
+    dispatch_event(SessionAbandoned{id});
+    // Nobody waits for the set-up any more, so it is cancelled where a cancel is final at the node.
     if (!nodes_.is_cancel_final()) return;
     const auto still = sessions_.find(id);
-    if (still == sessions_.end() || still->second->state != State::left) return;
-    Session& out = *still->second;
-    nodes_.cancel(out.record.attempt_records.back().server, id, out.attempt);
-    attempt_over(out, Outcome::cancelled, {}, false);
-}
-
-// The viewer's time is up and the module has not answered: nothing is owed any more. On a director that keeps
-// up this does not happen; it is counted as late and answered as a failure so that no connection hangs.
-void Engine::deadline_passed(SessionId id) {
-    Session& s = *sessions_.at(id);
-    if (s.record.answered) return;
+    if (still == sessions_.end() || still->second->state != State::abandoned) return;
+    Session& session = *still->second;
+    nodes_.cancel(session.record.attempt_records.back().server, id, session.attempt);
+    handle_attempt_end(session, Outcome::cancelled, {}, false);
+}
+
+// The viewer's deadline passed before the decision module answered. This does not happen on a director that
+// keeps up with its load; it is counted as a missed deadline and answered as a failure, so that no connection
+// hangs.
+void Engine::handle_deadline(SessionId id) {
+    Session& session = *sessions_.at(id);
+    if (session.record.answered) return;
     counts_.missed_deadlines += 1;
-    remark(s, "time is up, unanswered");
-    answer(s, Answer::failed);
-    if (s.state == State::held) finish(id, "director");
-    else s.state = State::left;
-    nobody_waits(id);
-}
-
-void Engine::answer(Session& s, Answer answer) {
-    if (s.record.answered) slip(s, std::string("a second answer: ") + name(answer));
-    owed_ -= 1;
-    s.record.answered = true;
-    s.record.answer = answer;
-    s.record.answered_at = loop_.now();
-    s.deadline.stop();
-    remark(s, std::string("answered: ") + name(answer));
+    record_history(session, "deadline passed without an answer");
+    deliver_answer(session, Answer::failed);
+    if (session.state == State::queued) finish_session(id, "director");
+    else session.state = State::abandoned;
+    abandon_session(id);
+}
+
+void Engine::deliver_answer(Session& session, Answer answer) {
+    if (session.record.answered)
+        throw_violation(session, std::string("answered a second time: ") + name(answer));
+    unanswered_count_ -= 1;
+    session.record.answered = true;
+    session.record.answer = answer;
+    session.record.answered_at = loop_.now();
+    session.deadline_timer.stop();
+    record_history(session, std::string("answered: ") + name(answer));
     switch (answer) {
         case Answer::established:
             counts_.established += 1;
@@ -279,377 +295,413 @@
             counts_.abandoned += 1;
             break;
     }
-    const auto waiters = std::move(s.waiters);
-    s.waiters.clear();
-    const Placement where{s.record.id, s.attempt, s.record.server, s.rung, s.media};
-    const Time retry_after = s.record.retry_after;
-    for (AnswerHandler* waiter : waiters) {
-        if (answer == Answer::established) waiter->on_established(where);
-        else if (answer == Answer::rejected) waiter->on_rejected(retry_after);
-        else if (answer == Answer::failed) waiter->on_failed();
+    const auto handlers = std::move(session.handlers);
+    session.handlers.clear();
+    const Placement where{session.record.id, session.attempt, session.record.server, session.rung,
+                          session.media};
+    const Time retry_after = session.record.retry_after;
+    for (AnswerHandler* handler : handlers) {
+        if (answer == Answer::established) handler->on_established(where);
+        else if (answer == Answer::rejected) handler->on_rejected(retry_after);
+        else if (answer == Answer::failed) handler->on_failed();
     }
 }
 
-void Engine::remember(const Session& s) {
-    if (s.record.request.preassigned_id) return;  // its viewer says itself that it comes again
-    const std::string k = key(s.record.request);
+void Engine::remember_sid(const Session& session) {
+    if (session.record.request.preassigned_id) return;  // such a request itself says whether it returns
+    const std::string key = make_request_key(session.record.request);
     const Time now = loop_.now();
-    while (!remembered_order_.empty() && (remembered_order_.front().first <= now ||
-                                          remembered_order_.size() >= limits_.max_remembered_sids)) {
-        const auto it = remembered_.find(remembered_order_.front().second);
-        if (it != remembered_.end() && it->second.until <= remembered_order_.front().first)
-            remembered_.erase(it);
-        remembered_order_.pop_front();
+    while (!sid_expiry_queue_.empty() && (sid_expiry_queue_.front().first <= now ||
+                                          sid_expiry_queue_.size() >= limits_.max_remembered_sids)) {
+        const auto it = remembered_sids_.find(sid_expiry_queue_.front().second);
+        if (it != remembered_sids_.end() && it->second.expires_at <= sid_expiry_queue_.front().first)
+            remembered_sids_.erase(it);
+        sid_expiry_queue_.pop_front();
     }
-    const Time until = now + limits_.sid_retention;
-    remembered_[k] = {until, s.moving};
-    remembered_order_.emplace_back(until, k);
+    const Time expires_at = now + limits_.sid_retention;
+    remembered_sids_[key] = {expires_at, session.moving};
+    sid_expiry_queue_.emplace_back(expires_at, key);
 }
 
-void Engine::finish(SessionId id, const char* by) {
+void Engine::finish_session(SessionId id, const char* ended_by) {
     const auto it = sessions_.find(id);
     const std::unique_ptr<Session> owned = std::move(it->second);
     sessions_.erase(it);
-    Session& s = *owned;
-    if (!s.record.answered) slip(s, "ends unanswered");
-    by_key_.erase(key(s.record.request));
-    remember(s);
-    s.record.ended_at = loop_.now();
-    s.record.ended_by = by;
-    s.record.rung = s.rung;
+    Session& session = *owned;
+    if (!session.record.answered) throw_violation(session, "finished without an answer");
+    session_by_key_.erase(make_request_key(session.record.request));
+    remember_sid(session);
+    session.record.ended_at = loop_.now();
+    session.record.ended_by = ended_by;
+    session.record.rung = session.rung;
     counts_.ended += 1;
-    if (on_session_record) on_session_record(s.record);
+    if (on_session_record) on_session_record(session.record);
 }
 
 void Engine::update_server_list(const ServerList& list) {
-    if (list.kind == ListKind::full || list.kind == ListKind::saved) listed_.clear();
+    if (list.kind == ListKind::full || list.kind == ListKind::saved) listed_servers_.clear();
     for (const ServerEntry& entry : list.entries)
-        if (list.kind != ListKind::failed) listed_[entry.id] = entry;
-    feed(list);
+        if (list.kind != ListKind::failed) listed_servers_[entry.id] = entry;
+    dispatch_event(list);
 }
-Engine::Session& Engine::take_over(SessionId id, const ViewerRequest& ask, ServerId server, int attempt,
-                                   int rung) {
+
+Engine::Session& Engine::insert_established_session(SessionId id, const ViewerRequest& request,
+                                                    ServerId server, int attempt, int rung) {
     auto owned = std::make_unique<Session>();
-    Session& s = *owned;
-    s.record.id = id;
-    s.record.request = ask;
-    s.record.received_at = s.record.answered_at = loop_.now();
-    s.record.answered = true;
-    s.record.answer = Answer::established;
-    s.record.reclaimed = true;
-    s.record.returning = ask.returning;
-    s.record.deadline = ask.preassigned_id ? ask.deadline : 0;
-    s.record.attempts = attempt + 1;
-    s.record.server = server;
-    s.record.attempt_records.push_back({server});
-    s.state = State::playing;
-    s.rung = s.rung_sent = rung;
-    s.attempt = attempt;
-    remark(s, "taken back from an earlier life");
-    playing_ += 1;
-    seat(s, 1);
+    Session& session = *owned;
+    session.record.id = id;
+    session.record.request = request;
+    session.record.received_at = session.record.answered_at = loop_.now();
+    session.record.answered = true;
+    session.record.answer = Answer::established;
+    session.record.reclaimed = true;
+    session.record.returning = request.returning;
+    session.record.deadline = request.preassigned_id ? request.deadline : 0;
+    session.record.attempts = attempt + 1;
+    session.record.server = server;
+    session.record.attempt_records.push_back({server});
+    session.state = State::established;
+    session.rung = session.rung_sent = rung;
+    session.attempt = attempt;
+    record_history(session, "reclaimed from an earlier incarnation of this director");
+    established_count_ += 1;
+    adjust_seat_count(session, 1);
     sessions_.emplace(id, std::move(owned));
-    return s;
+    return session;
 }
 
-// As the simulator hands one over: as attempt 0, at its class's floor until the node tells its rung.
-bool Engine::adopt_session(const ViewerRequest& ask, ServerId server) {
-    if (sessions_.count(*ask.preassigned_id)) return false;
+// As in the simulator, the session is handed over as attempt 0, at its class's floor until the node reports
+// its rung.
+bool Engine::adopt_session(const ViewerRequest& request, ServerId server) {
+    if (sessions_.count(*request.preassigned_id)) return false;
     counts_.reclaimed += 1;
-    const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(ask.cls));
-    Session& s = take_over(*ask.preassigned_id, ask, server, 0, cls.floor);
-    SessionAdopted as;
-    as.request = request_of(s);
-    as.server = server;
-    feed(as);
+    const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(request.cls));
+    Session& session = insert_established_session(*request.preassigned_id, request, server, 0, cls.floor);
+    SessionAdopted adopted;
+    adopted.request = make_session_request(session);
+    adopted.server = server;
+    dispatch_event(adopted);
     return true;
 }
 
 bool Engine::terminate_by_viewer(SessionId id) {
     const auto it = sessions_.find(id);
-    if (it == sessions_.end() || it->second->state != State::playing) return false;
-    Session& s = *it->second;
-    remark(s, "ended by its viewer");
-    s.hung_up = true;
-    nodes_.cancel(s.record.server, id, s.attempt);
+    if (it == sessions_.end() || it->second->state != State::established) return false;
+    Session& session = *it->second;
+    record_history(session, "terminated by its viewer");
+    session.terminated_by_viewer = true;
+    nodes_.cancel(session.record.server, id, session.attempt);
     return true;
 }
 
-bool Engine::reclaim_session(const OrphanedSession& one) {
-    const ViewerRequest& ask = one.request;
-    const std::string k = key(ask);
-    decide::ReclaimCandidate f;
-    f.cls = ask.cls, f.tenant = ask.tenant, f.rung = one.rung;
-    f.from_this_incarnation = one.session >> 32 == first_id_ >> 32 || sessions_.count(one.session) != 0;
-    f.superseded = by_key_.count(k) != 0;
-    if (const auto it = held_.find({ask.title, ask.cls}); it != held_.end()) f.held_sessions = it->second;
-    if (decide::evaluate_reclaim(settings_, f) != decide::ReclaimVerdict::reclaim) {
+bool Engine::reclaim_session(const OrphanedSession& orphan) {
+    const ViewerRequest& request = orphan.request;
+    const std::string key = make_request_key(request);
+    decide::ReclaimCandidate candidate;
+    candidate.cls = request.cls, candidate.tenant = request.tenant, candidate.rung = orphan.rung;
+    candidate.from_this_incarnation =
+        orphan.session >> 32 == id_base_ >> 32 || sessions_.count(orphan.session) != 0;
+    candidate.superseded = session_by_key_.count(key) != 0;
+    if (const auto it = seat_counts_.find({request.title, request.cls}); it != seat_counts_.end())
+        candidate.held_sessions = it->second;
+    if (decide::evaluate_reclaim(settings_, candidate) != decide::ReclaimVerdict::reclaim) {
         counts_.not_reclaimed += 1;
         return false;
     }
     counts_.reclaimed += 1;
-    Session& s = take_over(one.session, ask, one.server, one.attempt, one.rung);
-    s.media = one.media;
-    by_key_.emplace(k, one.session);
-    SessionAdopted as;
-    as.request = request_of(s);
-    as.server = one.server;
-    feed(as);
-    feed(SessionNote{one.session, one.attempt, one.server, NoteKind::rung, static_cast<double>(one.rung)});
+    Session& session =
+        insert_established_session(orphan.session, request, orphan.server, orphan.attempt, orphan.rung);
+    session.media = orphan.media;
+    session_by_key_.emplace(key, orphan.session);
+    SessionAdopted adopted;
+    adopted.request = make_session_request(session);
+    adopted.server = orphan.server;
+    dispatch_event(adopted);
+    dispatch_event(SessionNote{orphan.session, orphan.attempt, orphan.server, NoteKind::rung,
+                               static_cast<double>(orphan.rung)});
     return true;
 }
 
-// The list knows of a start seconds late, and of a process that died and came back between two looks not at
-// all; the node itself tells at once.
+// The server list shows a start seconds late and misses a process that died and restarted between two polls;
+// the node itself reports it at once.
 void Engine::on_node_incarnation(ServerId server, Time started) {
-    const auto it = listed_.find(server);
-    if (it == listed_.end() || it->second.state == ServerState::gone || started <= it->second.last_start)
+    const auto it = listed_servers_.find(server);
+    if (it == listed_servers_.end() || it->second.state == ServerState::gone ||
+        started <= it->second.last_start)
         return;
     it->second.last_start = started;
-    feed(ServerList{ListKind::changes, {it->second}});
+    dispatch_event(ServerList{ListKind::changes, {it->second}});
 }
 
-// ---- What nodes tell ----
+// ---- Events from nodes ----
 
 void Engine::on_attempt_started(SessionId id, int attempt, const Media& media) {
     const auto it = sessions_.find(id);
-    if (it == sessions_.end() || it->second->attempt != attempt) return;  // its end came first
-    contain_slips([&] { attempt_started(*it->second, media); });
-}
-
-void Engine::attempt_started(Session& s, const Media& media) {
-    const SessionId id = s.record.id;
-    const int attempt = s.attempt;
-    if (s.state != State::out && s.state != State::left) slip(s, "started, though no attempt is out");
-    remark(s, "started");
-    s.expiry.stop();
-    s.media = media;
-    s.record.server = s.record.attempt_records.back().server;
-    const bool wanted = s.state == State::out;
-    s.state = State::playing;
-    playing_ += 1;
-    const Time waited = loop_.now() - s.sent;
-    if (s.rung_sent != s.rung) {
-        s.rung_sent = s.rung;
-        nodes_.set_rung(s.record.server, id, attempt, s.rung);
+    if (it == sessions_.end() || it->second->attempt != attempt) return;  // it has ended already
+    contain_violations([&] { handle_attempt_started(*it->second, media); });
+}
+
+void Engine::handle_attempt_started(Session& session, const Media& media) {
+    const SessionId id = session.record.id;
+    const int attempt = session.attempt;
+    if (session.state != State::pending && session.state != State::abandoned)
+        throw_violation(session, "attempt started, but no attempt is pending");
+    record_history(session, "attempt started");
+    session.attempt_timer.stop();
+    session.media = media;
+    session.record.server = session.record.attempt_records.back().server;
+    const bool has_waiting_request = session.state == State::pending;
+    session.state = State::established;
+    established_count_ += 1;
+    const Time waited = loop_.now() - session.sent_at;
+    if (session.rung_sent != session.rung) {
+        session.rung_sent = session.rung;
+        nodes_.set_rung(session.record.server, id, attempt, session.rung);
     }
-    if (wanted) answer(s, Answer::established);
-    const ServerId server = s.record.server;
-    feed(SessionStarted{id, attempt, server, waited});
-    // Nobody is there to end a session whose viewer has left and whose protocol gives it no other holder.
-    if (!wanted && nodes_.is_cancel_final()) nodes_.cancel(server, id, attempt);
+    if (has_waiting_request) deliver_answer(session, Answer::established);
+    const ServerId server = session.record.server;
+    dispatch_event(SessionStarted{id, attempt, server, waited});
+    // The viewer has left and, in a protocol where a cancel is final, nobody else would end the session.
+    if (!has_waiting_request && nodes_.is_cancel_final()) nodes_.cancel(server, id, attempt);
 }
 
 void Engine::on_attempt_ended(SessionId id, int attempt, Outcome outcome, const LoadReport& report) {
     const auto it = sessions_.find(id);
-    if (it == sessions_.end() || it->second->attempt != attempt) return;  // timed out before: told already
-    contain_slips([&] { attempt_over(*it->second, outcome, report, false); });
+    if (it == sessions_.end() || it->second->attempt != attempt) return;  // already handled as timed out
+    contain_violations([&] { handle_attempt_end(*it->second, outcome, report, false); });
 }
+
 void Engine::on_attempt_lost(SessionId id, int attempt, Outcome outcome) {
     const auto it = sessions_.find(id);
-    if (it == sessions_.end() || it->second->attempt != attempt) return;  // given up before
-    contain_slips([&] { attempt_over(*it->second, outcome, {}, !nodes_.is_cancel_final()); });
-}
-
-// The module counts the attempt on, before it hears that it is over for its session: in between the place
-// would be free.
-void Engine::keep_counting(const Session& s) {
-    const Doubt doubt{
-        ++last_id_, s.record.attempt_records.back().server, {s.record.request.title, s.record.request.cls}};
-    if (!doubts_.emplace(std::make_pair(s.record.id, s.attempt), doubt).second)
-        slip(s, "its attempt is doubtful twice");
-    SessionAdopted as;
-    as.request = request_of(s);
-    as.request.id = doubt.id;
-    as.server = doubt.server;
-    feed(as);
-    feed(SessionNote{doubt.id, 0, doubt.server, NoteKind::rung, static_cast<double>(s.rung)});
-    feed(SessionAbandoned{doubt.id});
-}
-void Engine::seat(const Session& s, int by) {
-    const std::pair<TitleId, int> key{s.record.request.title, s.record.request.cls};
-    if ((held_[key] += by) == 0) held_.erase(key);
+    if (it == sessions_.end() || it->second->attempt != attempt) return;  // already given up
+    contain_violations([&] { handle_attempt_end(*it->second, outcome, {}, !nodes_.is_cancel_final()); });
+}
+
+// Has the decision module count the attempt on, under an id of its own, before it learns that the attempt is
+// over for its session: in between, the attempt's place would count as free.
+void Engine::track_unreleased_attempt(const Session& session) {
+    const UnreleasedAttempt unreleased{++last_id_,
+                                       session.record.attempt_records.back().server,
+                                       {session.record.request.title, session.record.request.cls}};
+    if (!unreleased_attempts_.emplace(std::make_pair(session.record.id, session.attempt), unreleased).second)
+        throw_violation(session, "attempt is already recorded as unreleased");
+    SessionAdopted adopted;
+    adopted.request = make_session_request(session);
+    adopted.request.id = unreleased.id;
+    adopted.server = unreleased.server;
+    dispatch_event(adopted);
+    dispatch_event(
+        SessionNote{unreleased.id, 0, unreleased.server, NoteKind::rung, static_cast<double>(session.rung)});
+    dispatch_event(SessionAbandoned{unreleased.id});
+}
+
+void Engine::adjust_seat_count(const Session& session, int delta) {
+    const std::pair<TitleId, int> key{session.record.request.title, session.record.request.cls};
+    if ((seat_counts_[key] += delta) == 0) seat_counts_.erase(key);
 }
+
 void Engine::on_attempt_released(SessionId session, int attempt) {
-    const auto it = doubts_.find({session, attempt});
-    if (it == doubts_.end()) return;
-    AttemptOver e;
-    e.id = it->second.id;
-    e.server = it->second.server;
-    e.outcome = Outcome::ended;
-    e.session_over = true;
-    if (--held_[it->second.seat] == 0) held_.erase(it->second.seat);
-    doubts_.erase(it);
-    feed(e);
-}
-
-void Engine::attempt_over(Session& s, Outcome outcome, const LoadReport& report, bool doubtful) {
-    if (doubtful) keep_counting(s);
-    else seat(s, -1);
-    const SessionId id = s.record.id;
-    const State was = s.state;
-    AttemptOver e;
-    e.id = id;
-    e.attempt = s.attempt;
-    e.server = s.record.attempt_records.back().server;
-    e.outcome = outcome;
-    e.waited = loop_.now() - s.sent;
-    e.session_over = s.record.answered;
-    e.report = report;
-    s.record.attempt_records.back().outcome = name(outcome);
-    s.record.attempt_records.back().elapsed = e.waited;
-    s.expiry.stop();
-    s.attempt = -1;
-    s.may_have_run = s.may_have_run || !proves_never_ran(outcome);
-    remark(s, std::string("attempt over: ") + name(outcome));
-    if (was == State::playing) {
-        playing_ -= 1;
+    const auto it = unreleased_attempts_.find({session, attempt});
+    if (it == unreleased_attempts_.end()) return;
+    AttemptOver event;
+    event.id = it->second.id;
+    event.server = it->second.server;
+    event.outcome = Outcome::ended;
+    event.session_over = true;
+    if (--seat_counts_[it->second.seat] == 0) seat_counts_.erase(it->second.seat);
+    unreleased_attempts_.erase(it);
+    dispatch_event(event);
+}
+
+void Engine::handle_attempt_end(Session& session, Outcome outcome, const LoadReport& report,
+                                bool unreleased) {
+    if (unreleased) track_unreleased_attempt(session);
+    else adjust_seat_count(session, -1);
+    const SessionId id = session.record.id;
+    const State previous_state = session.state;
+    AttemptOver event;
+    event.id = id;
+    event.attempt = session.attempt;
+    event.server = session.record.attempt_records.back().server;
+    event.outcome = outcome;
+    event.waited = loop_.now() - session.sent_at;
+    event.session_over = session.record.answered;
+    event.report = report;
+    session.record.attempt_records.back().outcome = name(outcome);
+    session.record.attempt_records.back().elapsed = event.waited;
+    session.attempt_timer.stop();
+    session.attempt = -1;
+    session.may_have_run = session.may_have_run || !proves_never_ran(outcome);
+    record_history(session, std::string("attempt ended: ") + name(outcome));
+    if (previous_state == State::established) {
+        established_count_ -= 1;
         counts_.reset += outcome == Outcome::reset;
-        const bool by_client = outcome == Outcome::cancelled && !s.hung_up && !s.moving;
-        if (by_client && !s.record.reclaimed && s.record.answer == Answer::established &&
-            decide::can_have_crossed(loop_.now() - s.record.answered_at)) {
-            s.record.end_crossed_answer = true;
+        const bool by_client =
+            outcome == Outcome::cancelled && !session.terminated_by_viewer && !session.moving;
+        if (by_client && !session.record.reclaimed && session.record.answer == Answer::established &&
+            decide::can_have_crossed(loop_.now() - session.record.answered_at)) {
+            session.record.end_crossed_answer = true;
             counts_.ends_crossing_answers += 1;
         }
-        const bool told = s.record.answer == Answer::established;
-        const bool owed = decide::must_notify_viewer({outcome, told, s.hung_up, s.moving});
-        if (on_session_terminated) on_session_terminated(id, owed, false);
+        const bool reported_established = session.record.answer == Answer::established;
+        const bool notify_viewer = decide::must_notify_viewer(
+            {outcome, reported_established, session.terminated_by_viewer, session.moving});
+        if (on_session_terminated) on_session_terminated(id, notify_viewer, false);
     }
-    if (s.record.answered)
-        finish(id, s.moving ? "director" : s.hung_up || was != State::playing ? "player" : "node");
-    else s.state = State::held;
-    feed(e);
+    if (session.record.answered)
+        finish_session(id, session.moving                                                         ? "director"
+                           : session.terminated_by_viewer || previous_state != State::established ? "player"
+                                                                                                  : "node");
+    else session.state = State::queued;
+    dispatch_event(event);
 }
 
 void Engine::on_session_note(SessionId session, int attempt, ServerId server, NoteKind kind, double value) {
-    feed(SessionNote{session, attempt, server, kind, value});
+    dispatch_event(SessionNote{session, attempt, server, kind, value});
 }
+
 void Engine::on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) {
-    feed(ProbeAnswered{server, outcome, waited, report});
+    dispatch_event(ProbeAnswered{server, outcome, waited, report});
 }
 
-// ---- The module ----
+// ---- Decision module ----
 
-// Events that come while one is handled wait their turn: the module is never entered twice.
-void Engine::feed(Event event) {
-    events_.push_back(std::move(event));
-    if (feeding_) return;
-    feeding_ = true;
+// Events that arrive while another is being handled are queued, because the decision module is not reentrant.
+void Engine::dispatch_event(Event event) {
+    pending_events_.push_back(std::move(event));
+    if (dispatching_) return;
+    dispatching_ = true;
     struct Guard {
         bool& flag;
         ~Guard() { flag = false; }
-    } guard{feeding_};
-    while (!events_.empty()) {
-        const Event next = std::move(events_.front());
-        events_.pop_front();
+    } guard{dispatching_};
+    while (!pending_events_.empty()) {
+        const Event next = std::move(pending_events_.front());
+        pending_events_.pop_front();
         std::vector<Action> actions;
         director_.handle(loop_.now(), next, actions);
         for (const Action& action : actions)
-            contain_slips([&] { std::visit([this](const auto& a) { carry(a); }, action); });
+            contain_violations([&] { std::visit([this](const auto& chosen) { execute(chosen); }, action); });
     }
 }
 
-void Engine::carry(const Send& a) {
-    Session& s = known(a.id, "Send");
-    if (s.record.answered) slip(s, "sent after its answer");
-    if (s.attempt >= 0) slip(s, "sent while an attempt is out");
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.request.cls)];
-    if (s.may_have_run && cls.repeat == Repeat::paid)
-        slip(s, "a paid set-up is sent again, though an earlier attempt may have run");
-    const Time expires = a.expires > 0 ? std::min(a.expires, s.record.deadline) : s.record.deadline;
-    s.attempt = s.record.attempts++;
-    seat(s, 1);
-    s.state = State::out;
-    s.sent = loop_.now();
-    s.record.attempt_records.push_back({a.server});
-    s.rung_sent = s.rung;
+void Engine::execute(const Send& action) {
+    Session& session = require_session(action.id, "Send");
+    if (session.record.answered) throw_violation(session, "sent after the request was answered");
+    if (session.attempt >= 0) throw_violation(session, "sent while an attempt is pending");
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
+    if (session.may_have_run && cls.repeat == Repeat::paid)
+        throw_violation(session, "paid set-up sent again, but an earlier attempt may have run");
+    const Time expires =
+        action.expires > 0 ? std::min(action.expires, session.record.deadline) : session.record.deadline;
+    session.attempt = session.record.attempts++;
+    adjust_seat_count(session, 1);
+    session.state = State::pending;
+    session.sent_at = loop_.now();
+    session.record.attempt_records.push_back({action.server});
+    session.rung_sent = session.rung;
     counts_.attempts += 1;
-    if (s.attempt == 0) s.record.first_sent_at = loop_.now();
+    if (session.attempt == 0) session.record.first_sent_at = loop_.now();
     else counts_.retries += 1;
-    remark(s, "sent to server " + std::to_string(a.server) + " at rung " + std::to_string(s.rung));
-    const SessionId id = a.id;
-    const int attempt = s.attempt;
-    if (expires <= loop_.now() || s.record.attempts > std::max(1, settings_.max_attempts)) {
+    record_history(session, "sent to server " + std::to_string(action.server) + " at rung " +
+                                std::to_string(session.rung));
+    const SessionId id = action.id;
+    const int attempt = session.attempt;
+    if (expires <= loop_.now() || session.record.attempts > std::max(1, settings_.max_attempts)) {
         loop_.post([this, id, attempt] { on_attempt_ended(id, attempt, Outcome::not_sent, {}); });
         return;
     }
-    s.expiry = loop_.at(expires, [this, id, attempt, server = a.server] {
-        nodes_.cancel(server, id, attempt);  // its work is of no use to anyone now
+    session.attempt_timer = loop_.at(expires, [this, id, attempt, server = action.server] {
+        nodes_.cancel(server, id, attempt);  // nobody waits for its result any more
         on_attempt_lost(id, attempt, Outcome::timed_out);
     });
-    nodes_.set_up({id, attempt, a.server, s.rung, expires, s.record.request, cls.repeat == Repeat::paid});
-}
-
-void Engine::carry(const Refuse& a) {
-    const auto it = sessions_.find(a.id);
-    if (it == sessions_.end()) return;  // left a moment ago: its event was on the way
-    Session& s = *it->second;
-    if (s.record.answered) return;
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.request.cls)];
-    if (s.attempt >= 0) slip(s, "refused while an attempt is out");
-    if (s.may_have_run && cls.repeat == Repeat::paid)
-        slip(s, "a paid set-up is refused, though an earlier attempt may have run");
-    s.record.retry_after = a.retry_after;
-    answer(s, Answer::rejected);
-    finish(a.id, "director");
-}
-void Engine::carry(const Fail& a) {
-    const auto it = sessions_.find(a.id);
+    nodes_.set_up({id, attempt, action.server, session.rung, expires, session.record.request,
+                   cls.repeat == Repeat::paid});
+}
+
+void Engine::execute(const Refuse& action) {
+    const auto it = sessions_.find(action.id);
+    if (it == sessions_.end()) return;  // abandoned just now; its event was still queued
+    Session& session = *it->second;
+    if (session.record.answered) return;
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
+    if (session.attempt >= 0) throw_violation(session, "rejected while an attempt is pending");
+    if (session.may_have_run && cls.repeat == Repeat::paid)
+        throw_violation(session, "paid set-up rejected, but an earlier attempt may have run");
+    session.record.retry_after = action.retry_after;
+    deliver_answer(session, Answer::rejected);
+    finish_session(action.id, "director");
+}
+
+void Engine::execute(const Fail& action) {
+    const auto it = sessions_.find(action.id);
     if (it == sessions_.end() || it->second->record.answered) return;
-    Session& s = *it->second;
-    answer(s, Answer::failed);
-    if (s.attempt < 0) finish(a.id, "director");
-    else s.state = State::left;
-}
-void Engine::carry(const Cancel& a) {
-    Session& s = known(a.id, "Cancel");
-    if (a.attempt < 0 || a.attempt >= s.record.attempts) slip(s, "cancels an attempt that was never made");
-    if (a.attempt != s.attempt) return;
-    remark(s, "called off");
-    // Told from the loop, and before the port can tell that it is released.
-    if (s.state == State::out || s.state == State::left)
-        loop_.post(
-            [this, id = a.id, attempt = a.attempt] { on_attempt_lost(id, attempt, Outcome::cancelled); });
-    nodes_.cancel(s.record.attempt_records.back().server, a.id, a.attempt);
-}
-void Engine::carry(const SetRung& a) {
-    const auto it = sessions_.find(a.id);
+    Session& session = *it->second;
+    deliver_answer(session, Answer::failed);
+    if (session.attempt < 0) finish_session(action.id, "director");
+    else session.state = State::abandoned;
+}
+
+void Engine::execute(const Cancel& action) {
+    Session& session = require_session(action.id, "Cancel");
+    if (action.attempt < 0 || action.attempt >= session.record.attempts)
+        throw_violation(session, "cancel names an attempt that was never made");
+    if (action.attempt != session.attempt) return;
+    record_history(session, "attempt cancelled");
+    // Posted to the loop rather than called from here, and before the port can report the attempt as
+    // released.
+    if (session.state == State::pending || session.state == State::abandoned)
+        loop_.post([this, id = action.id, attempt = action.attempt] {
+            on_attempt_lost(id, attempt, Outcome::cancelled);
+        });
+    nodes_.cancel(session.record.attempt_records.back().server, action.id, action.attempt);
+}
+
+void Engine::execute(const SetRung& action) {
+    const auto it = sessions_.find(action.id);
     if (it == sessions_.end()) return;
-    Session& s = *it->second;
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(s.record.request.cls)];
-    if (a.rung < cls.floor || a.rung >= static_cast<int>(settings_.rung_kb.size()))
-        slip(s, "rung " + std::to_string(a.rung) + " is under the class's floor or not on the ladder");
-    s.rung = a.rung;
-    if (s.state != State::playing || s.rung_sent == s.rung) return;
-    s.rung_sent = s.rung;
-    s.record.rung_changes += 1;
-    remark(s, "rung " + std::to_string(a.rung));
-    nodes_.set_rung(s.record.server, a.id, s.attempt, s.rung);
-}
-void Engine::carry(const Move& a) {
-    Session& s = known(a.id, "Move");
-    if (s.state != State::playing) slip(s, "moved, though it does not play");
-    s.moving = true;
-    remark(s, "moved");
-    if (on_session_terminated) on_session_terminated(a.id, true, true);
-    nodes_.move(s.record.server, a.id, s.attempt);
-}
-void Engine::carry(const Probe& a) { nodes_.probe(a.server); }
-void Engine::carry(const SetAlarm& a) {
-    const std::uint64_t id = ++last_alarm_;
-    alarms_[id] = loop_.at(a.at, [this, id, mark = a.mark] {
+    Session& session = *it->second;
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
+    if (action.rung < cls.floor || action.rung >= static_cast<int>(settings_.rung_kb.size()))
+        throw_violation(session, "rung " + std::to_string(action.rung) +
+                                     " is below the class's floor or not on the ladder");
+    session.rung = action.rung;
+    if (session.state != State::established || session.rung_sent == session.rung) return;
+    session.rung_sent = session.rung;
+    session.record.rung_changes += 1;
+    record_history(session, "set to rung " + std::to_string(action.rung));
+    nodes_.set_rung(session.record.server, action.id, session.attempt, session.rung);
+}
+
+void Engine::execute(const Move& action) {
+    Session& session = require_session(action.id, "Move");
+    if (session.state != State::established)
+        throw_violation(session, "moved, but the session is not established");
+    session.moving = true;
+    record_history(session, "moved");
+    if (on_session_terminated) on_session_terminated(action.id, true, true);
+    nodes_.move(session.record.server, action.id, session.attempt);
+}
+
+void Engine::execute(const Probe& action) { nodes_.probe(action.server); }
+void Engine::execute(const SetAlarm& action) {
+    const std::uint64_t id = ++last_alarm_id_;
+    alarms_[id] = loop_.at(action.at, [this, id, mark = action.mark] {
         alarms_.erase(id);
-        feed(AlarmDue{mark});
+        dispatch_event(AlarmDue{mark});
     });
 }
-void Engine::carry(const FollowList& a) {
-    if (list_) list_->follow(a.on);
+
+void Engine::execute(const FollowList& action) {
+    if (server_list_) server_list_->follow(action.on);
 }
-void Engine::carry(const FetchList&) {
-    if (list_) list_->fetch();
+
+void Engine::execute(const FetchList&) {
+    if (server_list_) server_list_->fetch();
 }
-void Engine::carry(const Log& a) {
-    if (on_director_log) on_director_log(a.text);
+
+void Engine::execute(const Log& action) {
+    if (on_director_log) on_director_log(action.text);
 }
 
 }  // namespace ivyfield::core
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -1,19 +1,23 @@
-// The session engine: owns a Director (the decision module) and the table of sessions and attempts, turns
-// what the ports tell into events and the module's actions into calls on the ports. It decides nothing: which
-// server, rung, wait, refusal or retry is the module's word.
+// The session engine. It owns a Director (the decision module) and the table of sessions and attempts,
+// translates what the ports report into events, and carries out the module's actions as calls on the ports.
+// It makes no decisions itself: server, rung, wait, rejection and retry are the decision module's.
 //
-// A session lives from open() to its end:
-//   held      owed an answer, no attempt out
-//   out       owed an answer, one attempt out
-//   playing   answered; its attempt plays
-//   left      nobody waits any more (abandoned), its attempt is still out
-// An attempt that ended without proof that the node holds nothing of it goes on in the module's books under
-// an id of its own (an adopted session that nobody waits for) until the node port says that it is released:
-// no seat, stream or link room is given twice on a guess.
-// A slip of our own (an action for a session that never was, a second attempt while one is out, an answer
-// twice, a paid set-up repeated without proof) throws Slip with the session's history. In service it fails
-// that session alone, which is counted and told with its history; built with IVYFIELD_CHECKS it reaches the
-// caller.
+// States of a session, from open_session() to its end:
+//   queued       not answered yet, no attempt pending
+//   pending      not answered yet, one attempt pending
+//   established  answered; its attempt plays
+//   abandoned    nobody waits any more (all requests withdrawn, or answered with a failure), its attempt is
+//   still
+//                pending
+//
+// An attempt that ended without proof that the node holds nothing of it is unreleased: the decision module
+// goes on counting it under an id of its own, as an adopted session that nobody waits for, until the node
+// port reports it released. So no seat, stream or link capacity is assigned twice on an assumption.
+//
+// A violated invariant (an action for a session that does not exist, a second attempt while one is pending, a
+// second answer, a paid set-up repeated without proof that it never ran) throws InvariantViolation with the
+// session's history. In production it fails that session alone, which is counted and reported with its
+// history; in a build with IVYFIELD_CHECKS it reaches the caller.
 #pragma once
 
 #include <deque>
@@ -28,6 +32,8 @@
 
 namespace ivyfield::core {
 
+// A programming error in the engine or the decision module, attributed to one session; what() contains the
+// session's history.
 class InvariantViolation : public std::logic_error {
   public:
     InvariantViolation(SessionId session, const std::string& what)
@@ -38,50 +44,56 @@
     SessionId session_;
 };
 
+// Default of EngineLimits::throw_on_violation.
 #ifdef IVYFIELD_CHECKS
 constexpr bool kThrowOnViolation = true;
 #else
 constexpr bool kThrowOnViolation = false;
 #endif
 
-// One attempt: where, how it ended, and how long after its own sending.
+// One attempt of a session, for the log.
 struct AttemptRecord {
     ServerId server = 0;
-    std::string outcome = "out";
-    Time elapsed = 0;
+    std::string outcome = "out";  // how it ended, as name(Outcome); "out" until then
+    Time elapsed = 0;             // from its sending to its end, ms
 };
 
-// All of one session, for its line in the log when it ends. Times on the loop's clock; 0: never came to it.
+// The course of one session, for its line in the log when it ends. Times are on the loop's clock; 0: the
+// session never got that far.
 struct SessionRecord {
     SessionId id = 0;
     ViewerRequest request;
     Answer answer = Answer::abandoned;
     bool answered = false, returning = false, moved = false;
-    bool end_crossed_answer = false;  // its client ended it at the node while our answer was on its way
-    bool reclaimed =
-        false;  // set up by an earlier life of this director; its phases begin at the taking back
+    // Its client ended it at the node while this director's answer was on its way.
+    bool end_crossed_answer = false;
+    // Set up by an earlier incarnation of this director; its times begin when it was reclaimed.
+    bool reclaimed = false;
     Time received_at = 0, first_sent_at = 0, answered_at = 0, ended_at = 0, deadline = 0, retry_after = 0;
     int attempts = 0, rung = 0, rung_changes = 0, joined_requests = 0;
     ServerId server = 0;
     std::vector<AttemptRecord> attempt_records;
-    std::string ended_by;  // "node", "player", "director"
+    std::string ended_by;  // "node", "player" or "director"
 };
 
+// Totals since the start.
 struct EngineCounts {
     std::uint64_t accepted = 0, joined = 0, established = 0, rejected = 0, failed = 0, abandoned = 0;
     std::uint64_t attempts = 0, retries = 0, missed_deadlines = 0, ended = 0, reset = 0;
     std::uint64_t reclaimed = 0, not_reclaimed = 0;
-    std::uint64_t ends_crossing_answers = 0;
-    std::uint64_t invariant_violations = 0;  // sessions failed for a broken invariant
+    std::uint64_t ends_crossing_answers = 0;  // sessions with SessionRecord::end_crossed_answer
+    std::uint64_t invariant_violations = 0;   // each fails its session
 };
 
 struct EngineLimits {
-    std::size_t max_remembered_sids = 100000;     // sids of ended sessions, to know who returns
-    Time sid_retention = 10 * 60 * 1000;          // and for how long
-    std::size_t max_history_entries = 32;         // entries of a session's history, the last ones
-    bool throw_on_violation = kThrowOnViolation;  // false: a broken invariant fails its session alone
+    std::size_t max_remembered_sids = 100000;     // ended sessions kept to recognize returning viewers
+    Time sid_retention = 10 * 60 * 1000;          // how long each is kept, ms
+    std::size_t max_history_entries = 32;         // most recent entries kept of a session's history
+    bool throw_on_violation = kThrowOnViolation;  // false: a violation fails its session alone
 };
 
+// Sessions of one director, from request to end. Single-threaded, on the given loop; `loop`, `nodes` and
+// `list` must outlive it. `list` may be null where server lists are pushed.
 class Engine : public NodeEvents {
   public:
     Engine(io::Loop& loop, const Settings& settings, std::uint64_t seed, NodePort& nodes,
@@ -90,30 +102,33 @@
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    std::function<void(const SessionRecord&)> on_session_record;  // each session, once, when it is over
-    std::function<void(const std::string&)> on_director_log;      // the module's own log lines
+    std::function<void(const SessionRecord&)>
+        on_session_record;                                    // called once for each session, when it ends
+    std::function<void(const std::string&)> on_director_log;  // log lines of the decision module
 
-    // A broken invariant, with its session's history; what it belongs to has failed.
+    // Called with a violated invariant and its session's history; the session is failed next.
     std::function<void(const std::string&)> on_invariant_violation;
 
-    // A session that stood is over or is moved. `owed`: its viewer is to be told, since it has not ended it
-    // itself and has not been told that it is moved.
-    std::function<void(SessionId, bool owed, bool moved)> on_session_terminated;
-
-    // A request for a session. The waiter hears its answer, possibly within this call, unless it leaves
-    // first. The same sid for the same title joins the session it has: no second set-up, and the same answer.
-    SessionId open_session(const ViewerRequest& ask, AnswerHandler* waiter);
-    // The waiter's connection is gone; it hears nothing any more.
-    void withdraw_request(SessionId id, AnswerHandler* waiter);
-    // A session that plays already and is handed over at the start; false: there is one of that number.
-    bool adopt_session(const ViewerRequest& ask, ServerId server);
-    // Its viewer has ended a session that stands; false: none of that number does.
+    // Called when an established session has ended or is being moved. `notify_viewer`: its viewer must be
+    // told, because it neither ended the session itself nor has been told that it is moved.
+    std::function<void(SessionId, bool notify_viewer, bool moved)> on_session_terminated;
+
+    // Requests a session. The handler is called once with the answer, possibly within this call, unless the
+    // request is withdrawn first. A request with the same sid for the same title joins the existing session:
+    // there is no second set-up, and it gets the same answer.
+    SessionId open_session(const ViewerRequest& request, AnswerHandler* handler);
+    // Withdraws a request whose connection is gone; its handler is not called any more.
+    void withdraw_request(SessionId id, AnswerHandler* handler);
+    // Takes over a session that already plays and is handed over at the start. False: its id is in use.
+    bool adopt_session(const ViewerRequest& request, ServerId server);
+    // Ends an established session at its viewer's request. False: no session with that id is established.
     bool terminate_by_viewer(SessionId id);
     bool has_session(SessionId id) const { return sessions_.count(id) != 0; }
-    // The process ends: whoever is owed an answer, now or later, has it by that time.
+    // For graceful shutdown: every unanswered session, open now or later, is answered by that time.
     void set_answer_deadline(Time last);
-    // Sessions that are owed an answer.
-    std::size_t unanswered_sessions() const { return owed_; }
+    // Number of sessions that are not answered yet.
+    std::size_t unanswered_sessions() const { return unanswered_count_; }
+    // Forwards a server list, or changes to it, to the decision module.
     void update_server_list(const ServerList& list);
 
     // NodeEvents
@@ -123,84 +138,89 @@
     void on_attempt_released(SessionId session, int attempt) override;
     void on_session_note(SessionId session, int attempt, ServerId server, NoteKind kind,
                          double value) override;
-    bool reclaim_session(const OrphanedSession& one) override;
+    bool reclaim_session(const OrphanedSession& orphan) override;
     void on_node_incarnation(ServerId server, Time started) override;
     void on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) override;
 
     const EngineCounts& counts() const { return counts_; }
     const Settings& settings() const { return settings_; }
     std::size_t open_sessions() const { return sessions_.size(); }
-    std::size_t established_sessions() const { return playing_; }
-    std::size_t unreleased_attempts() const { return doubts_.size(); }
+    std::size_t established_sessions() const { return established_count_; }
+    std::size_t unreleased_attempts() const { return unreleased_attempts_.size(); }
 
   private:
-    enum class State { held, out, playing, left };
+    enum class State { queued, pending, established, abandoned };
     struct Session;
-    struct Doubt {  // under which id, and where, the module counts it
+    // An unreleased attempt, as the decision module counts it: its substitute session id, server and seat.
+    struct UnreleasedAttempt {
         SessionId id;
         ServerId server;
-        std::pair<TitleId, int> seat;
+        std::pair<TitleId, int> seat;  // title and class
     };
-    struct Remembered {
-        Time until;
+    // An ended session by which a returning viewer is recognized; `moved`: it was told to come again.
+    struct RememberedSid {
+        Time expires_at;
         bool moved;
     };
 
-    void feed(Event event);
-    void carry(const Send& a);
-    void carry(const Refuse& a);
-    void carry(const Fail& a);
-    void carry(const Cancel& a);
-    void carry(const SetRung& a);
-    void carry(const Move& a);
-    void carry(const Probe& a);
-    void carry(const SetAlarm& a);
-    void carry(const FollowList& a);
-    void carry(const FetchList& a);
-    void carry(const Log& a);
+    void dispatch_event(Event event);
+    void execute(const Send& action);
+    void execute(const Refuse& action);
+    void execute(const Fail& action);
+    void execute(const Cancel& action);
+    void execute(const SetRung& action);
+    void execute(const Move& action);
+    void execute(const Probe& action);
+    void execute(const SetAlarm& action);
+    void execute(const FollowList& action);
+    void execute(const FetchList& action);
+    void execute(const Log& action);
 
     template <typename Step>
-    void contain_slips(const Step& step);
-    void contain(const InvariantViolation& slip);
-    void fail_broken(SessionId id);
-    void attempt_started(Session& s, const Media& media);
-    Session& known(SessionId id, const char* action);
-    [[noreturn]] void slip(const Session& s, const std::string& what) const;
-    void remark(Session& s, std::string what);
-    void answer(Session& s, Answer answer);
-    void attempt_over(Session& s, Outcome outcome, const LoadReport& report, bool doubtful);
-    void keep_counting(const Session& s);
-    void seat(const Session& s, int by);
-    SessionRequest request_of(const Session& s) const;
-    void deadline_passed(SessionId id);
-    void nobody_waits(SessionId id);
-    void finish(SessionId id, const char* by);
-    std::string key(const ViewerRequest& ask) const;
-    Session& take_over(SessionId id, const ViewerRequest& ask, ServerId server, int attempt, int rung);
-    void remember(const Session& s);
+    void contain_violations(const Step& step);
+    void handle_violation(const InvariantViolation& violation);
+    void fail_session(SessionId id);
+    void handle_attempt_started(Session& session, const Media& media);
+    Session& require_session(SessionId id, const char* action);
+    [[noreturn]] void throw_violation(const Session& session, const std::string& what) const;
+    void record_history(Session& session, std::string what);
+    void deliver_answer(Session& session, Answer answer);
+    void handle_attempt_end(Session& session, Outcome outcome, const LoadReport& report, bool unreleased);
+    void track_unreleased_attempt(const Session& session);
+    void adjust_seat_count(const Session& session, int delta);
+    SessionRequest make_session_request(const Session& session) const;
+    void handle_deadline(SessionId id);
+    void abandon_session(SessionId id);
+    void finish_session(SessionId id, const char* ended_by);
+    std::string make_request_key(const ViewerRequest& request) const;
+    Session& insert_established_session(SessionId id, const ViewerRequest& request, ServerId server,
+                                        int attempt, int rung);
+    void remember_sid(const Session& session);
 
     io::Loop& loop_;
     Settings settings_;
     NodePort& nodes_;
-    ServerListPort* list_;
+    ServerListPort* server_list_;
     EngineLimits limits_;
     Director director_;
     EngineCounts counts_;
-    const SessionId first_id_;
+    const SessionId id_base_;
     SessionId last_id_;
-    std::size_t playing_ = 0, owed_ = 0;
-    Time answer_by_ = std::numeric_limits<Time>::infinity();
+    std::size_t established_count_ = 0, unanswered_count_ = 0;
+    Time answer_deadline_ = std::numeric_limits<Time>::infinity();
     std::map<SessionId, std::unique_ptr<Session>> sessions_;
-    std::map<std::pair<SessionId, int>, Doubt> doubts_;
-    std::map<std::pair<TitleId, int>, int> held_;  // by title and class: attempts that count, doubtful too
-    std::map<ServerId, ServerEntry> listed_;       // as the module was told last
-    std::map<std::string, SessionId> by_key_;
-    std::map<std::string, Remembered> remembered_;
-    std::deque<std::pair<Time, std::string>> remembered_order_;
-    std::deque<Event> events_;
-    bool feeding_ = false;
+    // By session and attempt.
+    std::map<std::pair<SessionId, int>, UnreleasedAttempt> unreleased_attempts_;
+    // By title and class: attempts that occupy a seat, unreleased ones included.
+    std::map<std::pair<TitleId, int>, int> seat_counts_;
+    std::map<ServerId, ServerEntry> listed_servers_;   // as last reported to the decision module
+    std::map<std::string, SessionId> session_by_key_;  // keys by make_request_key()
+    std::map<std::string, RememberedSid> remembered_sids_;
+    std::deque<std::pair<Time, std::string>> sid_expiry_queue_;
+    std::deque<Event> pending_events_;
+    bool dispatching_ = false;
     std::map<std::uint64_t, io::Timer> alarms_;
-    std::uint64_t last_alarm_ = 0;
+    std::uint64_t last_alarm_id_ = 0;
 };
 
 }  // namespace ivyfield::core
