--- a/src/decide/failure_detector.cpp
+++ b/src/decide/failure_detector.cpp
@@ -6,31 +6,34 @@
 
 namespace {
 
-// A node from which nothing has come for this long is dialled. Together with the dials below, each of which
-// takes the time that the settings give a connection, a loss is told well within the 8 s that viewers allow.
-constexpr Time kSilent = 2000, kNextLook = 500;
-// So many dials one after the other that do not come up: the machine is gone.
-constexpr int kFailures = 3;
+// A node that has sent nothing for kSilenceLimit is dialled. Together with the dials below, each of which may
+// take as long as the settings allow for connecting, a loss is reported well within the 8 s that viewers
+// allow.
+constexpr Time kSilenceLimit = 2000, kCheckInterval = 500;
+// After this many consecutive failed dials the machine is considered gone.
+constexpr int kMaxDialFailures = 3;
 
 }  // namespace
 
 void FailureDetector::record_activity(Time now) {
-    heard_ = now;
-    failures_ = 0;
+    last_activity_ = now;
+    dial_failures_ = 0;
 }
 
-// Dials that began before the last failure was known are the same failure: a crowd of set-ups that all dial
-// in one bad moment must not end every session there.
-bool FailureDetector::record_dial_failure(Time began, Time now, bool refused) {
+// Dials that began before the last failure was known count as the same failure, so that many set-ups that
+// dial at the same bad moment do not end every session at the node.
+bool FailureDetector::record_dial_failure(Time started, Time now, bool refused) {
     if (refused) return true;
-    if (began < heard_ || (failures_ > 0 && began < failed_)) return false;
-    failed_ = now;
-    failures_ += 1;
-    return failures_ >= kFailures;
+    if (started < last_activity_ || (dial_failures_ > 0 && started < last_failure_)) return false;
+    last_failure_ = now;
+    dial_failures_ += 1;
+    return dial_failures_ >= kMaxDialFailures;
 }
 
-Time FailureDetector::next_check_at(Time now) const { return std::max(now + kNextLook, heard_ + kSilent); }
+Time FailureDetector::next_check_at(Time now) const {
+    return std::max(now + kCheckInterval, last_activity_ + kSilenceLimit);
+}
 
-bool FailureDetector::is_silent(Time now) const { return now >= heard_ + kSilent; }
+bool FailureDetector::is_silent(Time now) const { return now >= last_activity_ + kSilenceLimit; }
 
 }  // namespace ivyfield::decide
--- a/src/decide/poll_schedule.cpp
+++ b/src/decide/poll_schedule.cpp
@@ -6,18 +6,19 @@
 
 namespace {
 
-constexpr Time kTold = 1500;  // PROTOCOL, "The name server"
-constexpr Time kOften = kTold / 6, kSeldom = kTold / 2;
+constexpr Time kEventReportTime = 1500;  // PROTOCOL, "The name server"
+constexpr Time kMinInterval = kEventReportTime / 6, kMaxInterval = kEventReportTime / 2;
 
 }  // namespace
 
-// Once it has been silent for as long as events take to count, the gap grows with the silence.
+// Once the server has been silent for longer than events take to count as reported, the interval grows with
+// the silence.
 Time PollSchedule::next_interval(Time now) const {
-    const Time silent = now - heard_;
-    if (silent <= kTold) return kOften;
-    return std::clamp(silent / 6, kOften, kSeldom);
+    const Time silence = now - last_answer_;
+    if (silence <= kEventReportTime) return kMinInterval;
+    return std::clamp(silence / 6, kMinInterval, kMaxInterval);
 }
 
-bool PollSchedule::is_fresh(Time asked, Time now) { return now - asked <= kTold; }
+bool PollSchedule::is_fresh(Time queried, Time now) { return now - queried <= kEventReportTime; }
 
 }  // namespace ivyfield::decide
--- a/src/decide/poll_schedule.hpp
+++ b/src/decide/poll_schedule.hpp
@@ -1,25 +1,26 @@
-// How often the name server is asked for the list, and which answers tell of this moment. The platform's
-// protocol counts an event as told 1.5 s after it happened, heard or not: several answers may be lost on the
-// way to that. One that is silent is asked less often: each director of hundreds asks, and it is no sooner
-// back for being asked more. No I/O, no clock.
+// Decides how often the name server is queried for the list, and which answers are current. The platform's
+// protocol counts an event as reported 1.5 s after it happened, whether or not it was received, so that
+// several answers may be lost within that time. A server that does not answer is queried less often: every
+// one of hundreds of directors queries it, and more queries do not bring it back sooner. No I/O, no clock.
 #pragma once
 
 #include "ivyfield/director.hpp"
 
 namespace ivyfield::decide {
 
+// The query interval for one name server.
 class PollSchedule {
   public:
-    explicit PollSchedule(Time now) : heard_(now) {}
-    void record_answer(Time now) { heard_ = now; }
-    // How long after this query the next one is sent.
+    explicit PollSchedule(Time now) : last_answer_(now) {}
+    void record_answer(Time now) { last_answer_ = now; }
+    // How long after the query of `now` the next one is sent, ms.
     Time next_interval(Time now) const;
-    // Whether an answer that came now, to a query of then, tells what holds now: one that was long on its way
-    // is no sign that nothing has happened since.
-    static bool is_fresh(Time asked, Time now);
+    // Whether an answer that arrives at `now` to a query sent at `queried` describes the current state: one
+    // that was long on its way does not show that nothing has happened since.
+    static bool is_fresh(Time queried, Time now);
 
   private:
-    Time heard_;
+    Time last_answer_;
 };
 
 }  // namespace ivyfield::decide
--- a/src/decide/reclaim.cpp
+++ b/src/decide/reclaim.cpp
@@ -2,37 +2,37 @@
 
 namespace ivyfield::decide {
 
-const char* name(ReclaimVerdict claim) {
-    switch (claim) {
+const char* name(ReclaimVerdict verdict) {
+    switch (verdict) {
         case ReclaimVerdict::reclaim:
-            return "taken back";
+            return "reclaimed";
         case ReclaimVerdict::unknown_class:
             return "no such class";
         case ReclaimVerdict::unknown_tenant:
             return "no such tenant";
         case ReclaimVerdict::rung_not_allowed:
-            return "its rung is not allowed";
+            return "rung not allowed";
         case ReclaimVerdict::already_given_up:
-            return "given up before";
+            return "already given up";
         case ReclaimVerdict::superseded:
-            return "its viewer came again";
+            return "superseded by a new request";
         case ReclaimVerdict::no_free_seat:
-            return "no seat is free";
+            return "no free seat";
     }
     return "?";
 }
 
-ReclaimVerdict evaluate_reclaim(const Settings& settings, const ReclaimCandidate& found) {
-    if (found.from_this_incarnation) return ReclaimVerdict::already_given_up;
-    if (found.cls < 0 || found.cls >= static_cast<int>(settings.classes.size()))
+ReclaimVerdict evaluate_reclaim(const Settings& settings, const ReclaimCandidate& candidate) {
+    if (candidate.from_this_incarnation) return ReclaimVerdict::already_given_up;
+    if (candidate.cls < 0 || candidate.cls >= static_cast<int>(settings.classes.size()))
         return ReclaimVerdict::unknown_class;
-    if (found.tenant < 0 || found.tenant >= static_cast<int>(settings.tenants.size()))
+    if (candidate.tenant < 0 || candidate.tenant >= static_cast<int>(settings.tenants.size()))
         return ReclaimVerdict::unknown_tenant;
-    const ClassSettings& cls = settings.classes[static_cast<std::size_t>(found.cls)];
-    if (found.rung < cls.floor || found.rung >= static_cast<int>(settings.rung_kb.size()))
+    const ClassSettings& cls = settings.classes[static_cast<std::size_t>(candidate.cls)];
+    if (candidate.rung < cls.floor || candidate.rung >= static_cast<int>(settings.rung_kb.size()))
         return ReclaimVerdict::rung_not_allowed;
-    if (found.superseded) return ReclaimVerdict::superseded;
-    if (cls.seats > 0 && found.held_sessions >= cls.seats) return ReclaimVerdict::no_free_seat;
+    if (candidate.superseded) return ReclaimVerdict::superseded;
+    if (cls.seats > 0 && candidate.held_sessions >= cls.seats) return ReclaimVerdict::no_free_seat;
     return ReclaimVerdict::reclaim;
 }
 
--- a/src/decide/reclaim.hpp
+++ b/src/decide/reclaim.hpp
@@ -1,30 +1,35 @@
-// Whether a director takes back a session that a node plays for an earlier life of it. Settings and what is
-// known in, a verdict out: no I/O, no clock. What is not taken back is ended at the node: it would hold seats
-// and link that nobody counts, and its viewer is better served by a session that somebody keeps.
+// Decides whether a director reclaims a session that a node plays for an earlier incarnation of it. A pure
+// function of the settings and of what is known: no I/O, no clock. A session that is not reclaimed is ended
+// at its node: it would occupy seats and link capacity that nobody counts, and its viewer is better served by
+// a session that a director keeps.
 #pragma once
 
 #include "ivyfield/director.hpp"
 
 namespace ivyfield::decide {
 
+// What is known of a session that a node reports as playing.
 struct ReclaimCandidate {
-    int cls = -1, tenant = -1;  // indices into the settings; -1: no such class or tenant any more
+    int cls = -1, tenant = -1;  // indices into the settings; -1: no longer in the settings
     int rung = 0;
-    bool superseded = false;             // its viewer has come again meanwhile and has another session here
-    bool from_this_incarnation = false;  // this life has set it up and given it up
-    int held_sessions = 0;  // sessions of its title and class that this director holds, set-ups included
+    bool superseded = false;             // its viewer has asked again and has another session here
+    bool from_this_incarnation = false;  // this incarnation set it up and has given it up
+    int held_sessions =
+        0;  // sessions of its title and class that this director holds, pending set-ups included
 };
+
 enum class ReclaimVerdict {
     reclaim,
     unknown_class,
     unknown_tenant,
-    rung_not_allowed,  // under the class's floor, or not on the ladder
+    rung_not_allowed,  // below the class's floor, or not on the ladder
     already_given_up,
     superseded,
     no_free_seat
 };
-const char* name(ReclaimVerdict claim);
+const char* name(ReclaimVerdict verdict);
 
-ReclaimVerdict evaluate_reclaim(const Settings& settings, const ReclaimCandidate& found);
+// Returns `reclaim`, or the first reason against it.
+ReclaimVerdict evaluate_reclaim(const Settings& settings, const ReclaimCandidate& candidate);
 
 }  // namespace ivyfield::decide
--- a/src/decide/session_end.cpp
+++ b/src/decide/session_end.cpp
@@ -4,26 +4,28 @@
 
 namespace {
 
-// PROTOCOL: what is sent within this time of the other's close may cross it.
-constexpr Time kCrossing = 50;
-// PROTOCOL: an end that could not be told is told within 8 s; a quarter of it is given to better connections.
-constexpr Time kNotifiedWithin = 8000, kOwnWait = kNotifiedWithin / 4;
+// PROTOCOL: a message sent within this time of the other side's close may cross it.
+constexpr Time kCrossingWindow = 50;
+// PROTOCOL: an end that could not be reported at once is reported within 8 s. A quarter of that is reserved
+// for connections that have carried a set-up.
+constexpr Time kNotifyWithin = 8000, kPreferredOnlyFor = kNotifyWithin / 4;
 
 }  // namespace
 
-// "Cancelled" is a node's word for an end by its viewer, who knows. (Where the viewer left before our answer
-// was there nothing that we could say counts either: docs/results/fleet.md, five ways tried.)
-bool must_notify_viewer(const SessionEnd& ended) {
-    return ended.reported_established && !ended.terminated_by_viewer && !ended.moved &&
-           ended.outcome != Outcome::cancelled;
+// The outcome "cancelled" is a node's report that the viewer ended the session, so the viewer knows. (If the
+// viewer left before our answer reached it, no notification counts either: five approaches were
+// tried, see docs/results/fleet.md.)
+bool must_notify_viewer(const SessionEnd& end) {
+    return end.reported_established && !end.terminated_by_viewer && !end.moved &&
+           end.outcome != Outcome::cancelled;
 }
 
-bool can_carry_end_notice(bool carried, bool tested, Time waited) {
-    return carried || (tested && waited >= kOwnWait);
+bool can_carry_end_notice(bool has_carried_setup, bool has_passed_test, Time waited) {
+    return has_carried_setup || (has_passed_test && waited >= kPreferredOnlyFor);
 }
 
-bool can_have_crossed(Time ago) { return ago <= kCrossing; }
+bool can_have_crossed(Time elapsed) { return elapsed <= kCrossingWindow; }
 
-Time earliest_end_notice_elsewhere(Time answered) { return answered + kCrossing; }
+Time earliest_end_notice_elsewhere(Time answered) { return answered + kCrossingWindow; }
 
 }  // namespace ivyfield::decide
--- a/src/decide/shutdown.hpp
+++ b/src/decide/shutdown.hpp
@@ -1,11 +1,12 @@
-// Graceful shutdown of a director (SIGTERM): until when it takes set-ups, by when it has answered what it
-// took, which client connections it ends, and when the process leaves. The figures are the platform's
-// protocol's: the kill comes no earlier than the longest deadline (at most 3 s of it) and 0.7 s later, and
-// until 0.7 s requests still come. No I/O, no clock.
+// Graceful shutdown of a director (SIGTERM): until when it admits set-ups, by when it must have answered
+// those it admitted, which client connections it closes, and when the process exits. The times come from the
+// platform's protocol: the kill comes no earlier than the longest deadline (of which at most 3 s count) plus
+// 0.7 s, and requests still arrive for 0.7 s.
 //
-// A connection's end is not the process's end: each connection is ended once nothing is open on it, the
-// listener stays for requests that cross such an end and are sent again, and the process leaves when every
-// connection is closed by both sides and no more come. The hard deadline is the last resort.
+// Closing a connection is not the end of the process: each connection is closed once nothing is pending on
+// it, the listener stays open for requests that cross such a close and are sent again, and the process exits
+// when every connection is closed by both sides and no more arrive. The hard deadline before the kill is the
+// last resort. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -14,36 +15,37 @@
 
 namespace ivyfield::decide {
 
-// What a director that ends still has to do, as far as it matters here.
+// What a director that shuts down still has to do.
 struct PendingWork {
-    std::size_t unanswered_setups = 0;  // set-ups without an answer
-    bool has_unsent_output = false;     // something written has not left yet
-    std::size_t open_connections = 0;   // of clients, not yet closed by both sides
-    Time last_received = 0;             // when something last came from clients
+    std::size_t unanswered_setups = 0;  // set-ups without an answer yet
+    bool has_unsent_output = false;     // written output has not been sent yet
+    std::size_t open_connections = 0;   // clients' connections not yet closed by both sides
+    Time last_received = 0;             // when the last data arrived from clients
 };
 
 // One client connection during the shutdown.
 struct DrainingConnection {
-    std::size_t pending_setups = 0;     // set-ups without an answer
-    bool has_received_message = false;  // a message has come on it
+    std::size_t pending_setups = 0;     // set-ups without an answer yet
+    bool has_received_message = false;  // a message has arrived on it
     Time accepted_at = 0;
 };
 
+// The schedule of one shutdown; times are on the caller's clock, in ms.
 class GracefulShutdown {
   public:
-    // `asked`: when SIGTERM was found.
-    GracefulShutdown(const Settings& settings, Time asked);
-    // What comes later is refused; trying again elsewhere is harmless.
+    // `requested_at`: when SIGTERM was noticed.
+    GracefulShutdown(const Settings& settings, Time requested_at);
+    // Set-ups that arrive later are rejected; trying again elsewhere is harmless.
     Time accept_deadline() const;
-    // What is still unanswered then is given up: nobody would answer it after the kill.
+    // Set-ups still unanswered at this time are given up, because nobody would answer them after the kill.
     Time answer_deadline() const;
-    // Whether that connection is ended now.
+    // Whether that connection is to be closed now.
     bool should_close_connection(Time now, const DrainingConnection& connection) const;
-    // True: nothing is left to do, or no time to do it.
-    bool should_exit(Time now, const PendingWork& left) const;
+    // Whether the process exits now: nothing is left to do, or no time is left to do it.
+    bool should_exit(Time now, const PendingWork& work) const;
 
   private:
-    Time asked_, killed_;
+    Time requested_at_, kill_at_;
 };
 
 }  // namespace ivyfield::decide
--- a/tests/decide/reclaim_test.cpp
+++ b/tests/decide/reclaim_test.cpp
@@ -7,32 +7,41 @@
 
 namespace {
 
-TEST(Claims, EachReasonAloneAndNoneOfThem) {
-    Settings s;
-    s.rung_kb = {1, 2, 3};
-    s.tenants = {{"t", 0, 1}};
-    ClassSettings seats, free;
-    seats.seats = 2, seats.floor = 1;
-    s.classes = {seats, free};
-    ReclaimCandidate good;
-    good.cls = 0, good.tenant = 0, good.rung = 1, good.held_sessions = 1;
-    EXPECT_EQ(evaluate_reclaim(s, good), ReclaimVerdict::reclaim);
-    const auto with = [&](auto change) {
-        ReclaimCandidate f = good;
-        change(f);
-        return evaluate_reclaim(s, f);
+TEST(Reclaim, EachReasonAloneRejectsAndNoneReclaims) {
+    Settings settings;
+    settings.rung_kb = {1, 2, 3};
+    settings.tenants = {{"t", 0, 1}};
+    ClassSettings capped, uncapped;
+    capped.seats = 2, capped.floor = 1;
+    settings.classes = {capped, uncapped};
+    ReclaimCandidate acceptable;
+    acceptable.cls = 0, acceptable.tenant = 0, acceptable.rung = 1, acceptable.held_sessions = 1;
+    EXPECT_EQ(evaluate_reclaim(settings, acceptable), ReclaimVerdict::reclaim);
+    const auto evaluate_with = [&](auto change) {
+        ReclaimCandidate changed = acceptable;
+        change(changed);
+        return evaluate_reclaim(settings, changed);
     };
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.from_this_incarnation = true; }),
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.from_this_incarnation = true; }),
               ReclaimVerdict::already_given_up);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.cls = -1; }), ReclaimVerdict::unknown_class);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.cls = 2; }), ReclaimVerdict::unknown_class);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.tenant = -1; }), ReclaimVerdict::unknown_tenant);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.rung = 0; }), ReclaimVerdict::rung_not_allowed);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.rung = 3; }), ReclaimVerdict::rung_not_allowed);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.superseded = true; }), ReclaimVerdict::superseded);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.held_sessions = 2; }), ReclaimVerdict::no_free_seat);
-    EXPECT_EQ(with([](ReclaimCandidate& f) { f.cls = 1, f.held_sessions = 99; }), ReclaimVerdict::reclaim)
-        << "no cap on that class";
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.cls = -1; }),
+              ReclaimVerdict::unknown_class);
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.cls = 2; }),
+              ReclaimVerdict::unknown_class);
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.tenant = -1; }),
+              ReclaimVerdict::unknown_tenant);
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.rung = 0; }),
+              ReclaimVerdict::rung_not_allowed);
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.rung = 3; }),
+              ReclaimVerdict::rung_not_allowed);
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.superseded = true; }),
+              ReclaimVerdict::superseded);
+    EXPECT_EQ(evaluate_with([](ReclaimCandidate& candidate) { candidate.held_sessions = 2; }),
+              ReclaimVerdict::no_free_seat);
+    EXPECT_EQ(
+        evaluate_with([](ReclaimCandidate& candidate) { candidate.cls = 1, candidate.held_sessions = 99; }),
+        ReclaimVerdict::reclaim)
+        << "class 1 has no seat limit";
 }
 
 }  // namespace
