--- a/include/ivyfield/director.hpp
+++ b/include/ivyfield/director.hpp
@@ -17,26 +17,26 @@
 using TitleId = std::uint64_t;
 
 // What a repeated set-up of a session does.
-enum class Repeat {
-    harmless,  // may be sent again at any time
-    keyed,     // may be sent again within its group and window after an attempt that may have run
-    paid       // may be sent again or refused only when every earlier attempt provably never ran
+enum class Idempotency {
+    idempotent,     // may be sent again at any time
+    keyed,          // may be sent again within its group and window after an attempt that may have run
+    non_idempotent  // may be sent again or refused only when every earlier attempt provably never ran
 };
 // Where a keyed session may be sent again.
-enum class RepeatGroup { anywhere, same_zone, same_cell };
+enum class RetryScope { anywhere, same_zone, same_cell };
 
 struct ClassSettings {
     std::string name;
-    double worth = 0;   // of one second at a rung of worth 1
-    Time aim = 0;       // wanted playing within
-    Time patience = 0;  // the viewer waits so long
-    Repeat repeat = Repeat::harmless;
-    RepeatGroup group = RepeatGroup::anywhere;
-    Time repeat_window = 0;
-    int floor = 0;         // lowest rung that may be set
-    int top = 0;           // highest rung
-    double rate_part = 0;  // its rates over those of the ladder
-    int seats = 0;         // sessions of one title that a director may hold; 0: no cap
+    double worth = 0;         // of one second at a rung of worth 1
+    Time startup_target = 0;  // wanted playing within
+    Time patience = 0;        // the viewer waits so long
+    Idempotency idempotency = Idempotency::idempotent;
+    RetryScope retry_scope = RetryScope::anywhere;
+    Time retry_window = 0;
+    int min_rung = 0;        // lowest rung that may be set
+    int max_rung = 0;        // highest rung
+    double rate_factor = 0;  // its rates over those of the ladder
+    int seats = 0;           // sessions of one title that a director may hold; 0: no cap
     bool live = false;
 };
 struct TenantSettings {
@@ -44,9 +44,9 @@
     double quota_per_s = 0;  // requests a second inside its share, over all directors; 0: not stated
     double share = 0;
 };
-struct BudgetSettings {  // further attempts allowed in any window
-    double per_request = 0;
-    double free = 0;
+struct RetryBudgetSettings {  // further attempts allowed in any window
+    double retries_per_request = 0;
+    double free_retries = 0;
     Time window = 0;
 };
 enum class ReportField {
@@ -62,24 +62,24 @@
 };
 
 struct Settings {
-    int directors = 1, self = 0, zone = 0;
+    int directors = 1, self_index = 0, zone = 0;
     bool list_on_request = false;
-    bool probes = false, cancel = false, weighted = false;
+    bool can_probe = false, can_cancel = false, use_weights = false;
     int max_attempts = 0;
     Time max_retry_after = 0;  // 0: viewers are not told when to come back
     Time connect_timeout = 0, answer_slack = 0;
-    Time stop_within = 0, ask_within = 0;
-    double cold_from = 1, fall_multiple = 0;  // fall_multiple 0: no such rule
-    Time cold_time = 0, fall_window = 0;
-    std::optional<BudgetSettings> budget;
+    Time drain_stop_within = 0, max_list_poll_interval = 0;
+    double initial_warmth = 1, overload_multiple = 0;  // fall_multiple 0: no such rule
+    Time warmup_time = 0, overload_window = 0;
+    std::optional<RetryBudgetSettings> retry_budget;
     int cells = 0, racks = 0;
-    std::vector<double> kind_streams;
-    double fleet_kb = 0, rack_kb = 0, weight_kb = 0;  // kB a second
-    double refuses_from = 0;  // share of a link at which servers answer "full"; 0: never
-    double join_part = 1;     // what a further viewer of a live title adds to its stream
+    std::vector<double> max_streams_by_kind;
+    double fleet_kb = 0, rack_kb = 0, link_kb = 0;  // kB a second
+    double full_utilization = 0;  // share of a link at which servers answer "full"; 0: never
+    double join_rate_factor = 1;  // what a further viewer of a live title adds to its stream
     std::vector<double> rung_kb, rung_worth;
-    double short_points = 0;  // points of worth lost for each point of rate missing
-    Time notes_late = 0, link_note_every = 0;
+    double shortfall_penalty = 0;  // points of worth lost for each point of rate missing
+    Time note_delay = 0, link_note_interval = 0;
     double switch_cost_s = 0;  // a change of rung costs so many seconds of worth
     double over_share_worth = 1;
     double cross_zone_price = 0, probe_price = 0, move_price = 0;
@@ -119,20 +119,20 @@
     SessionRequest request;
     ServerId server = 0;
 };
-struct SessionStarted {
+struct SessionEstablished {
     SessionId id = 0;
     int attempt = 0;
     ServerId server = 0;
-    Time waited = 0;
+    Time elapsed = 0;
 };
 enum class Outcome { ended, error, full, timed_out, not_connected, reset, cancelled, not_sent };
-struct AttemptOver {
+struct AttemptEnded {
     SessionId id = 0;
     int attempt = 0;
     ServerId server = 0;
     Outcome outcome = Outcome::ended;
-    Time waited = 0;
-    bool session_over = false;
+    Time elapsed = 0;
+    bool session_ended = false;
     LoadReport report;
 };
 enum class NoteKind { delivered_share, rung, link, uplink, other };
@@ -146,25 +146,25 @@
 struct SessionAbandoned {
     SessionId id = 0;
 };
-struct AlarmDue {
-    std::uint64_t mark = 0;
+struct TimerExpired {
+    std::uint64_t timer_id = 0;
 };
-struct ProbeAnswered {
+struct ProbeCompleted {
     ServerId server = 0;
     Outcome outcome = Outcome::ended;
-    Time waited = 0;
+    Time elapsed = 0;
     LoadReport report;
 };
-using Event = std::variant<ServerList, SessionRequest, SessionAdopted, SessionStarted, AttemptOver,
-                           SessionNote, SessionAbandoned, AlarmDue, ProbeAnswered>;
+using Event = std::variant<ServerList, SessionRequest, SessionAdopted, SessionEstablished, AttemptEnded,
+                           SessionNote, SessionAbandoned, TimerExpired, ProbeCompleted>;
 
 // Actions.
-struct Send {
+struct SendSetup {
     SessionId id;
     ServerId server;
     Time expires;
 };
-struct Refuse {
+struct Reject {
     SessionId id;
     Time retry_after;
 };
@@ -185,19 +185,19 @@
 struct Probe {
     ServerId server;
 };
-struct SetAlarm {
-    std::uint64_t mark;
+struct SetTimer {
+    std::uint64_t timer_id;
     Time at;
 };
-struct FollowList {
-    bool on;
+struct SubscribeServerList {
+    bool enabled;
 };
-struct FetchList {};
+struct FetchServerList {};
 struct Log {
     std::string text;
 };
-using Action =
-    std::variant<Send, Refuse, Fail, Cancel, SetRung, Move, Probe, SetAlarm, FollowList, FetchList, Log>;
+using Action = std::variant<SendSetup, Reject, Fail, Cancel, SetRung, Move, Probe, SetTimer,
+                            SubscribeServerList, FetchServerList, Log>;
 
 class Director {
   public:
--- a/src/benchlink/codec.cpp
+++ b/src/benchlink/codec.cpp
@@ -125,22 +125,24 @@
         put(out, static_cast<std::uint8_t>(code));
         put(out, i);
     }
-    void operator()(const Send& a) const {
+    void operator()(const SendSetup& a) const {
         head(1), put(out, a.id), put_server(out, a.server), put(out, a.expires);
     }
-    void operator()(const Refuse& a) const { head(2), put(out, a.id), put(out, a.retry_after); }
+    void operator()(const Reject& a) const { head(2), put(out, a.id), put(out, a.retry_after); }
     void operator()(const Fail& a) const { head(3), put(out, a.id); }
     void operator()(const Cancel& a) const {
         head(4), put(out, a.id), put(out, static_cast<std::uint8_t>(a.attempt));
     }
-    void operator()(const SetAlarm& a) const { head(5), put(out, a.mark), put(out, a.at); }
+    void operator()(const SetTimer& a) const { head(5), put(out, a.timer_id), put(out, a.at); }
     void operator()(const Probe& a) const { head(6), put_server(out, a.server); }
     void operator()(const Log& a) const {
         const std::string text = a.text.substr(0, 0xffff);
         head(9), put(out, static_cast<std::uint16_t>(text.size())), out += text;
     }
-    void operator()(const FollowList& a) const { head(11), put(out, static_cast<std::uint8_t>(a.on)); }
-    void operator()(const FetchList&) const { head(12); }
+    void operator()(const SubscribeServerList& a) const {
+        head(11), put(out, static_cast<std::uint8_t>(a.enabled));
+    }
+    void operator()(const FetchServerList&) const { head(12); }
     void operator()(const SetRung& a) const {
         head(13), put(out, a.id), put(out, static_cast<std::uint8_t>(a.rung));
     }
@@ -260,22 +262,22 @@
             break;
         }
         case 4: {
-            SessionStarted e;
+            SessionEstablished e;
             e.id = in.u64();
             e.attempt = in.u8();
             e.server = in.server();
-            e.waited = finite(in.f64());
+            e.elapsed = finite(in.f64());
             event = e;
             break;
         }
         case 5: {
-            AttemptOver e;
+            AttemptEnded e;
             e.id = in.u64();
             e.attempt = in.u8();
             e.server = in.server();
             e.outcome = outcome_of(in.u16());
-            e.waited = finite(in.f64());
-            e.session_over = in.u8() != 0;
+            e.elapsed = finite(in.f64());
+            e.session_ended = in.u8() != 0;
             e.report = read_report(in);
             event = e;
             break;
@@ -284,13 +286,13 @@
             event = SessionAbandoned{in.u64()};
             break;
         case 7:
-            event = AlarmDue{in.u64()};
+            event = TimerExpired{in.u64()};
             break;
         case 8: {
-            ProbeAnswered e;
+            ProbeCompleted e;
             e.server = in.server();
             e.outcome = outcome_of(in.u16());
-            e.waited = finite(in.f64());
+            e.elapsed = finite(in.f64());
             e.report = read_report(in);
             event = e;
             break;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -100,7 +100,7 @@
 void read_fleet(const Reader& f, Config& c) {
     Settings& s = c.settings;
     f.get("directors", s.directors);
-    f.get("self", s.self);
+    f.get("self", s.self_index);
     f.get("zone", s.zone);
     f.get("cells", s.cells);
     f.get("racks", s.racks);
@@ -108,19 +108,19 @@
     f.get("copies", c.copies);
     for (const json& kind : f.raw().at("kinds")) {
         c.kinds.push_back(kind.at("name"));
-        s.kind_streams.push_back(kind.at("streams"));
+        s.max_streams_by_kind.push_back(kind.at("streams"));
     }
     f.get("rung_kb", s.rung_kb);
     f.get("rung_worth", s.rung_worth);
-    f.get("link_kb", s.weight_kb);
+    f.get("link_kb", s.link_kb);
     f.get("rack_kb", s.rack_kb);
     f.get("fleet_kb", s.fleet_kb);
-    s.weighted = true;
-    f.get("weighted", s.weighted);
-    f.get("refuses_from", s.refuses_from);
-    f.get("join_part", s.join_part);
-    f.get("short_points", s.short_points);
-    f.get("notes_late_ms", s.notes_late);
+    s.use_weights = true;
+    f.get("weighted", s.use_weights);
+    f.get("refuses_from", s.full_utilization);
+    f.get("join_part", s.join_rate_factor);
+    f.get("short_points", s.shortfall_penalty);
+    f.get("notes_late_ms", s.note_delay);
     f.get("switch_cost_s", s.switch_cost_s);
     f.get("over_share_worth", s.over_share_worth);
     f.get("move_price", s.move_price);
@@ -132,7 +132,7 @@
     for (std::size_t k = 1; k < s.rung_kb.size(); ++k)
         if (s.rung_kb[k] <= s.rung_kb[k - 1])
             f.fault("/rung_kb/" + std::to_string(k), "a ladder rises: not above the rung before it");
-    if (s.self >= s.directors)
+    if (s.self_index >= s.directors)
         f.fault("/self", "not below directors, which is " + std::to_string(s.directors));
     if (s.cells > 0 && c.copies > s.cells) f.fault("/copies", "more copies than cells");
 }
@@ -142,28 +142,28 @@
     s.max_attempts = 4;
     s.connect_timeout = 250;
     s.answer_slack = 40;
-    s.stop_within = 500;
-    s.probes = true;
-    s.cancel = true;
+    s.drain_stop_within = 500;
+    s.can_probe = true;
+    s.can_cancel = true;
     s.max_retry_after = 2000;
     r.get("max_attempts", s.max_attempts);
     r.get("retry_after_ms", s.max_retry_after);
     r.get("connect_timeout_ms", s.connect_timeout);
     r.get("answer_slack_ms", s.answer_slack);
-    r.get("stop_within_ms", s.stop_within);
-    r.get("probes", s.probes);
+    r.get("stop_within_ms", s.drain_stop_within);
+    r.get("probes", s.can_probe);
     const Reader cold = r.child("cold");
-    cold.get("time_ms", s.cold_time);
-    cold.get("from", s.cold_from);
-    cold.get("fall_multiple", s.fall_multiple);
-    cold.get("fall_window_ms", s.fall_window);
+    cold.get("time_ms", s.warmup_time);
+    cold.get("from", s.initial_warmth);
+    cold.get("fall_multiple", s.overload_multiple);
+    cold.get("fall_window_ms", s.overload_window);
     if (r.has("budget")) {
         const Reader b = r.child("budget");
-        BudgetSettings budget;
-        b.get("per_request", budget.per_request);
-        b.get("free", budget.free);
+        RetryBudgetSettings budget;
+        b.get("per_request", budget.retries_per_request);
+        b.get("free", budget.free_retries);
         b.get("window_ms", budget.window);
-        s.budget = budget;
+        s.retry_budget = budget;
     }
 }
 
@@ -175,19 +175,21 @@
         ClassSettings cls;
         r.get("name", cls.name);
         r.get("worth", cls.worth);
-        r.get("aim_ms", cls.aim);
+        r.get("aim_ms", cls.startup_target);
         r.get("patience_ms", cls.patience);
-        cls.repeat = one.at("repeat") == "paid" ? Repeat::paid : Repeat::harmless;
-        r.get("floor", cls.floor);
-        cls.top = rungs - 1;
-        r.get("top", cls.top);
-        cls.rate_part = 1;
-        r.get("rate_part", cls.rate_part);
+        cls.idempotency = one.at("repeat") == "paid" ? Idempotency::non_idempotent : Idempotency::idempotent;
+        r.get("floor", cls.min_rung);
+        cls.max_rung = rungs - 1;
+        r.get("top", cls.max_rung);
+        cls.rate_factor = 1;
+        r.get("rate_part", cls.rate_factor);
         r.get("seats", cls.seats);
         r.get("live", cls.live);
-        if (cls.top >= rungs) r.fault("/top", "the ladder's highest rung is " + std::to_string(rungs - 1));
-        if (cls.floor > cls.top) r.fault("/floor", "above the class's top");
-        if (cls.aim > cls.patience) r.fault("/aim_ms", "later than patience_ms: the viewer would be gone");
+        if (cls.max_rung >= rungs)
+            r.fault("/top", "the ladder's highest rung is " + std::to_string(rungs - 1));
+        if (cls.min_rung > cls.max_rung) r.fault("/floor", "above the class's top");
+        if (cls.startup_target > cls.patience)
+            r.fault("/aim_ms", "later than patience_ms: the viewer would be gone");
         for (const ClassSettings& other : c.settings.classes)
             if (other.name == cls.name) r.fault("/name", "another class has this name");
         c.settings.classes.push_back(cls);
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -130,11 +130,11 @@
     const bool established = session.record.answered && session.record.answer == Answer::established;
     if (!session.record.answered) deliver_answer(session, Answer::failed);
     session.attempt_timer.stop();
-    AttemptOver over;
+    AttemptEnded over;
     over.id = id;
     over.attempt = session.attempt;
     over.outcome = Outcome::cancelled;
-    over.session_over = true;
+    over.session_ended = true;
     if (session.attempt >= 0) {
         over.server = session.record.attempt_records.back().server;
         session.record.attempt_records.back().outcome = name(Outcome::cancelled);
@@ -185,7 +185,7 @@
     session.record.deadline =
         std::min(request.preassigned_id ? request.deadline : loop_.now() + cls.patience, answer_deadline_);
     session.record.returning = request.returning;
-    session.rung = cls.floor;
+    session.rung = cls.min_rung;
     session.handlers.push_back(handler);
     if (const auto it = remembered_sids_.find(key);
         it != remembered_sids_.end() && it->second.expires_at > loop_.now()) {
@@ -376,7 +376,7 @@
     if (sessions_.count(*request.preassigned_id)) return false;
     counts_.reclaimed += 1;
     const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(request.cls));
-    Session& session = insert_established_session(*request.preassigned_id, request, server, 0, cls.floor);
+    Session& session = insert_established_session(*request.preassigned_id, request, server, 0, cls.min_rung);
     SessionAdopted adopted;
     adopted.request = make_session_request(session);
     adopted.server = server;
@@ -460,7 +460,7 @@
     }
     if (has_waiting_request) deliver_answer(session, Answer::established);
     const ServerId server = session.record.server;
-    dispatch_event(SessionStarted{id, attempt, server, waited});
+    dispatch_event(SessionEstablished{id, attempt, server, waited});
     // The viewer has left and, in a protocol where a cancel is final, nobody else would end the session.
     if (!has_waiting_request && nodes_.is_cancel_final()) nodes_.cancel(server, id, attempt);
 }
@@ -503,11 +503,11 @@
 void Engine::on_attempt_released(SessionId session, int attempt) {
     const auto it = unreleased_attempts_.find({session, attempt});
     if (it == unreleased_attempts_.end()) return;
-    AttemptOver event;
+    AttemptEnded event;
     event.id = it->second.id;
     event.server = it->second.server;
     event.outcome = Outcome::ended;
-    event.session_over = true;
+    event.session_ended = true;
     if (--seat_counts_[it->second.seat] == 0) seat_counts_.erase(it->second.seat);
     unreleased_attempts_.erase(it);
     dispatch_event(event);
@@ -519,16 +519,16 @@
     else adjust_seat_count(session, -1);
     const SessionId id = session.record.id;
     const State previous_state = session.state;
-    AttemptOver event;
+    AttemptEnded event;
     event.id = id;
     event.attempt = session.attempt;
     event.server = session.record.attempt_records.back().server;
     event.outcome = outcome;
-    event.waited = loop_.now() - session.sent_at;
-    event.session_over = session.record.answered;
+    event.elapsed = loop_.now() - session.sent_at;
+    event.session_ended = session.record.answered;
     event.report = report;
     session.record.attempt_records.back().outcome = name(outcome);
-    session.record.attempt_records.back().elapsed = event.waited;
+    session.record.attempt_records.back().elapsed = event.elapsed;
     session.attempt_timer.stop();
     session.attempt = -1;
     session.may_have_run = session.may_have_run || !proves_never_ran(outcome);
@@ -561,7 +561,7 @@
 }
 
 void Engine::on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) {
-    dispatch_event(ProbeAnswered{server, outcome, waited, report});
+    dispatch_event(ProbeCompleted{server, outcome, waited, report});
 }
 
 // ---- Decision module ----
@@ -585,12 +585,12 @@
     }
 }
 
-void Engine::execute(const Send& action) {
+void Engine::execute(const SendSetup& action) {
     Session& session = require_session(action.id, "Send");
     if (session.record.answered) throw_violation(session, "sent after the request was answered");
     if (session.attempt >= 0) throw_violation(session, "sent while an attempt is pending");
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
-    if (session.may_have_run && cls.repeat == Repeat::paid)
+    if (session.may_have_run && cls.idempotency == Idempotency::non_idempotent)
         throw_violation(session, "paid set-up sent again, but an earlier attempt may have run");
     const Time expires =
         action.expires > 0 ? std::min(action.expires, session.record.deadline) : session.record.deadline;
@@ -616,17 +616,17 @@
         on_attempt_lost(id, attempt, Outcome::timed_out);
     });
     nodes_.set_up({id, attempt, action.server, session.rung, expires, session.record.request,
-                   cls.repeat == Repeat::paid});
+                   cls.idempotency == Idempotency::non_idempotent});
 }
 
-void Engine::execute(const Refuse& action) {
+void Engine::execute(const Reject& action) {
     const auto it = sessions_.find(action.id);
     if (it == sessions_.end()) return;  // abandoned just now; its event was still queued
     Session& session = *it->second;
     if (session.record.answered) return;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
     if (session.attempt >= 0) throw_violation(session, "rejected while an attempt is pending");
-    if (session.may_have_run && cls.repeat == Repeat::paid)
+    if (session.may_have_run && cls.idempotency == Idempotency::non_idempotent)
         throw_violation(session, "paid set-up rejected, but an earlier attempt may have run");
     session.record.retry_after = action.retry_after;
     deliver_answer(session, Answer::rejected);
@@ -662,7 +662,7 @@
     if (it == sessions_.end()) return;
     Session& session = *it->second;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
-    if (action.rung < cls.floor || action.rung >= static_cast<int>(settings_.rung_kb.size()))
+    if (action.rung < cls.min_rung || action.rung >= static_cast<int>(settings_.rung_kb.size()))
         throw_violation(session, "rung " + std::to_string(action.rung) +
                                      " is below the class's floor or not on the ladder");
     session.rung = action.rung;
@@ -684,19 +684,19 @@
 }
 
 void Engine::execute(const Probe& action) { nodes_.probe(action.server); }
-void Engine::execute(const SetAlarm& action) {
+void Engine::execute(const SetTimer& action) {
     const std::uint64_t id = ++last_alarm_id_;
-    alarms_[id] = loop_.at(action.at, [this, id, mark = action.mark] {
+    alarms_[id] = loop_.at(action.at, [this, id, mark = action.timer_id] {
         alarms_.erase(id);
-        dispatch_event(AlarmDue{mark});
+        dispatch_event(TimerExpired{mark});
     });
 }
 
-void Engine::execute(const FollowList& action) {
-    if (server_list_) server_list_->follow(action.on);
+void Engine::execute(const SubscribeServerList& action) {
+    if (server_list_) server_list_->follow(action.enabled);
 }
 
-void Engine::execute(const FetchList&) {
+void Engine::execute(const FetchServerList&) {
     if (server_list_) server_list_->fetch();
 }
 
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -164,16 +164,16 @@
     };
 
     void dispatch_event(Event event);
-    void execute(const Send& action);
-    void execute(const Refuse& action);
+    void execute(const SendSetup& action);
+    void execute(const Reject& action);
     void execute(const Fail& action);
     void execute(const Cancel& action);
     void execute(const SetRung& action);
     void execute(const Move& action);
     void execute(const Probe& action);
-    void execute(const SetAlarm& action);
-    void execute(const FollowList& action);
-    void execute(const FetchList& action);
+    void execute(const SetTimer& action);
+    void execute(const SubscribeServerList& action);
+    void execute(const FetchServerList& action);
     void execute(const Log& action);
 
     template <typename Step>
--- a/src/decide/reclaim.cpp
+++ b/src/decide/reclaim.cpp
@@ -29,7 +29,7 @@
     if (candidate.tenant < 0 || candidate.tenant >= static_cast<int>(settings.tenants.size()))
         return ReclaimVerdict::unknown_tenant;
     const ClassSettings& cls = settings.classes[static_cast<std::size_t>(candidate.cls)];
-    if (candidate.rung < cls.floor || candidate.rung >= static_cast<int>(settings.rung_kb.size()))
+    if (candidate.rung < cls.min_rung || candidate.rung >= static_cast<int>(settings.rung_kb.size()))
         return ReclaimVerdict::rung_not_allowed;
     if (candidate.superseded) return ReclaimVerdict::superseded;
     if (cls.seats > 0 && candidate.held_sessions >= cls.seats) return ReclaimVerdict::no_free_seat;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -49,7 +49,7 @@
 
 std::int64_t rung_kbps(const Settings& settings, int cls, int rung) {
     const double kb = settings.rung_kb[static_cast<std::size_t>(rung)] *
-                      settings.classes[static_cast<std::size_t>(cls)].rate_part;
+                      settings.classes[static_cast<std::size_t>(cls)].rate_factor;
     return std::llround(kb * 8);
 }
 
@@ -66,7 +66,7 @@
         variants.push_back(std::move(v));
     };
     variant(rung);
-    for (int r = settings.classes[static_cast<std::size_t>(cls)].floor; r <= top; ++r)
+    for (int r = settings.classes[static_cast<std::size_t>(cls)].min_rung; r <= top; ++r)
         if (r != rung) variant(r);
     return hls::write_master(variants);
 }
@@ -109,8 +109,8 @@
         fixed.values = {{"ot", hints::Token{"m"}}, {"sf", hints::Token{"h"}}};
         fixed.values["st"] = hints::Token{s.classes[static_cast<std::size_t>(ask.cls)].live ? "l" : "v"};
         r.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, fixed));
-        const int top =
-            std::max(where.rung, std::min(s.classes[static_cast<std::size_t>(ask.cls)].top, ask.top_rung));
+        const int top = std::max(
+            where.rung, std::min(s.classes[static_cast<std::size_t>(ask.cls)].max_rung, ask.top_rung));
         r.body = master_playlist(s, ask.cls, where.rung, top, where.media);
         send(std::move(r), keys);
     }
@@ -203,11 +203,11 @@
     ask.cell_count = config_.copies;
     ask.first_cell = s.cells > 0 ? static_cast<int>(ask.title % static_cast<std::uint64_t>(s.cells)) : 0;
     const ClassSettings& c = s.classes[static_cast<std::size_t>(ask.cls)];
-    ask.top_rung = c.top;
+    ask.top_rung = c.max_rung;
     // tb: the highest rate that this player can use. Under the lowest rung it can use none; it gets the
     // floor.
     if (const auto top = cmcd.keys.integer("tb")) {
-        while (ask.top_rung > c.floor && rung_kbps(s, ask.cls, ask.top_rung) > *top) ask.top_rung -= 1;
+        while (ask.top_rung > c.min_rung && rung_kbps(s, ask.cls, ask.top_rung) > *top) ask.top_rung -= 1;
     }
     const std::uint64_t number = ++next_;
     auto owned = std::make_unique<Pending>(*this, number, exchange, ask);
--- a/src/nodes/link.cpp
+++ b/src/nodes/link.cpp
@@ -98,7 +98,7 @@
     out.request.cls = index(settings.classes, event.at("class").get<std::string>());
     out.request.tenant = settings.tenants.empty() ? 0 : index(settings.tenants, event.value("tenant", ""));
     if (out.request.cls >= 0)
-        out.request.top_rung = settings.classes[static_cast<std::size_t>(out.request.cls)].top;
+        out.request.top_rung = settings.classes[static_cast<std::size_t>(out.request.cls)].max_rung;
     out.media.url = event.at("media").get<std::string>();
     out.media.renditions = renditions_of(event, settings.rung_kb.size());
     return out;
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -209,7 +209,7 @@
         if (now > next_alarm_ + kLate) stalled_ = now;
         if (born_ == kNever) {
             born_ = now;
-            if (set_.list_on_request) act(FollowList{true}), asked_ = now, wake(now);
+            if (set_.list_on_request) act(SubscribeServerList{true}), asked_ = now, wake(now);
         }
         std::visit([this](const auto& e) { on(e); }, event);
     }
@@ -226,21 +226,21 @@
         at = std::max(at, now_ + kTick);
         if (at >= next_alarm_) return;
         next_alarm_ = at;
-        act(SetAlarm{0, at});
+        act(SetTimer{0, at});
     }
 
     const ClassSettings& cls(const Session& s) const { return set_.classes[s.request.cls]; }
-    bool shares(const Session& s) const { return cls(s).live && set_.join_part < 1; }
+    bool shares(const Session& s) const { return cls(s).live && set_.join_rate_factor < 1; }
     // What a session takes of its rate. A live stream that all directors send to one server is shared with
     // theirs.
     double first_part(const Session& s) const {
-        return shares(s) ? set_.join_part + (1 - set_.join_part) / set_.directors : 1;
+        return shares(s) ? set_.join_rate_factor + (1 - set_.join_rate_factor) / set_.directors : 1;
     }
-    double rate(const Session& s, int rung) const { return set_.rung_kb[rung] * cls(s).rate_part; }
+    double rate(const Session& s, int rung) const { return set_.rung_kb[rung] * cls(s).rate_factor; }
     int top(const Session& s) const {
-        return std::max(cls(s).floor, std::min(cls(s).top, s.request.top_rung));
+        return std::max(cls(s).min_rung, std::min(cls(s).max_rung, s.request.top_rung));
     }
-    Time aim(const Session& s) const { return std::min(s.taken + cls(s).aim, s.request.deadline); }
+    Time aim(const Session& s) const { return std::min(s.taken + cls(s).startup_target, s.request.deadline); }
     int rack(const Server& v) const { return set_.racks > 0 ? v.entry.position % set_.racks : 0; }
 
     Server* server(ServerId id) {
@@ -265,7 +265,7 @@
         for (const SessionId id : v.sessions) {
             const Session& s = sessions_.at(id);
             const bool further = shares(s) && !shared.insert({s.request.title, s.request.cls, s.rung}).second;
-            kb -= rate(s, s.rung) * (further ? set_.join_part : first_part(s));
+            kb -= rate(s, s.rung) * (further ? set_.join_rate_factor : first_part(s));
             streams -= further ? 0 : 1;
         }
         if (std::abs(kb) > 1e-6 || std::abs(streams) > 1e-6)
@@ -279,10 +279,11 @@
         double kb = 0, streams = 0;
         for (const auto& [kind, n] : v.alike) {
             const auto& [title, c, rung] = kind;
-            const bool joins = set_.classes[c].live && set_.join_part < 1;
-            const double first = joins ? set_.join_part + (1 - set_.join_part) / set_.directors : 1;
-            kb += set_.rung_kb[rung] * set_.classes[c].rate_part *
-                  (joins ? first + (n - 1) * set_.join_part : n);
+            const bool joins = set_.classes[c].live && set_.join_rate_factor < 1;
+            const double first =
+                joins ? set_.join_rate_factor + (1 - set_.join_rate_factor) / set_.directors : 1;
+            kb += set_.rung_kb[rung] * set_.classes[c].rate_factor *
+                  (joins ? first + (n - 1) * set_.join_rate_factor : n);
             streams += joins ? 1 : n;
         }
 #ifdef IVYFIELD_CHECKS
@@ -342,17 +343,17 @@
         Account& up = uplinks_[rack(*v)];
         if (e.kind == NoteKind::delivered_share && e.value < 0.98) {
             const double asked = 1 / std::max(e.value, 0.2);
-            if (up.use(now_) < asked) v->link.learn(now_, asked, set_.notes_late, 1, true);
+            if (up.use(now_) < asked) v->link.learn(now_, asked, set_.note_delay, 1, true);
         } else if (e.kind == NoteKind::link) {
-            v->link.learn(now_, e.value, set_.notes_late, kGain);
+            v->link.learn(now_, e.value, set_.note_delay, kGain);
         } else if (e.kind == NoteKind::uplink) {
-            up.learn(now_, e.value, set_.notes_late, kGain);
+            up.learn(now_, e.value, set_.note_delay, kGain);
         }
         v->news = true;
         wake(now_);
     }
 
-    void on(const ProbeAnswered& e) {
+    void on(const ProbeCompleted& e) {
         Server* v = server(e.server);
         if (!v) return;
         const bool awaited = v->asked != kNever;
@@ -368,7 +369,7 @@
     // many has no other way to know a server: it sends a session every few seconds and hears of its own
     // servers only.
     bool ask(Server& v, Session& s) {
-        if (!set_.probes || set_.report_fields.empty()) return false;
+        if (!set_.can_probe || set_.report_fields.empty()) return false;
         if (s.asks >= kAsks || now_ - v.link.seen < kAskAge) return false;
         if (v.asked == kNever) {
             s.asks += 1;
@@ -402,20 +403,20 @@
     // first send waits for a part of the gap drawn by chance: a hundred directors that hear of a fresh, idle
     // server at once would each send it one at once.
     Time cold_opens(Server& v) {
-        if (set_.fall_multiple <= 0 || now_ >= v.cold_since + set_.cold_time) return kNever;
+        if (set_.overload_multiple <= 0 || now_ >= v.cold_since + set_.warmup_time) return kNever;
         if (v.next_cold == kNever) spend_cold(v, std::uniform_real_distribution<double>(0, 1)(random_));
         return v.next_cold;
     }
     void chill(Server& v, Time since) {
-        if (now_ >= v.cold_since + set_.cold_time) v.next_cold = kNever;  // else the pace goes on
+        if (now_ >= v.cold_since + set_.warmup_time) v.next_cold = kNever;  // else the pace goes on
         v.cold_since = since;
         v.doubted = false;
     }
     void spend_cold(Server& v, double part) {
-        const double age = std::clamp((now_ - v.cold_since) / std::max(1.0, set_.cold_time), 0.0, 1.0);
-        const double warmth = set_.cold_from + (1 - set_.cold_from) * age * age;
-        const double pace = std::max(1.0, v.streams.total) / std::max(1.0, set_.cold_time) * warmth *
-                            set_.fall_multiple * kColdPart / set_.directors;
+        const double age = std::clamp((now_ - v.cold_since) / std::max(1.0, set_.warmup_time), 0.0, 1.0);
+        const double warmth = set_.initial_warmth + (1 - set_.initial_warmth) * age * age;
+        const double pace = std::max(1.0, v.streams.total) / std::max(1.0, set_.warmup_time) * warmth *
+                            set_.overload_multiple * kColdPart / set_.directors;
         v.next_cold = now_ + part / pace;
     }
 
@@ -433,7 +434,7 @@
         if (now_ < v.rest_until || now_ < v.full_until) return false;
         if (strict && v.asked != kNever && now_ - v.asked > kAskWait && now_ != stalled_) return false;
         if (s.tried.count(v.entry.id) && strict) return false;
-        if (cls(s).repeat == Repeat::harmless || !strict) return true;
+        if (cls(s).idempotency == Idempotency::idempotent || !strict) return true;
         if (v.strikes > 0 || v.failing >= kFailing) return false;
         for (const SessionId id : v.sessions) {
             const Session& o = sessions_.at(id);
@@ -472,7 +473,7 @@
             value = 1 + meeting(s.request.title, v.entry.id);
         if (v.entry.zone != set_.zone) value -= set_.cross_zone_price * 5;
         // A doubtful server that has rested is tested by one session that may be sent again.
-        if (v.strikes > 0 && cls(s).repeat == Repeat::harmless && s.attempts == 0) return 2;
+        if (v.strikes > 0 && cls(s).idempotency == Idempotency::idempotent && s.attempts == 0) return 2;
         value -= kFailCost * v.failing + kStrikeCost * v.strikes + (s.tried.count(v.entry.id) ? 1 : 0);
         return value + std::uniform_real_distribution<double>(0, 0.02)(random_);
     }
@@ -531,7 +532,7 @@
         for (const SessionId id : v.sessions) {
             const Session& o = sessions_.at(id);
             if (o.request.title == s.request.title && o.request.cls == s.request.cls && o.rung <= top(s) &&
-                o.rung >= cls(s).floor)
+                o.rung >= cls(s).min_rung)
                 rung = std::max(rung, o.rung);
         }
         return rung >= 0 && use(v) < kMark ? rung : -1;
@@ -541,7 +542,7 @@
         Session& s = sessions_.at(id);
         held_.erase(id);
         if (grant) v.last_grant = now_, v.granted += 1;
-        if (now_ < v.cold_since + set_.cold_time) spend_cold(v, 1);
+        if (now_ < v.cold_since + set_.warmup_time) spend_cold(v, 1);
         if (v.strikes > 0) v.rest_until = now_ + kRest;  // one test at a time
         if (s.attempts > 0) repeats_.push_back(now_);
         s.attempts += 1;
@@ -551,7 +552,7 @@
         s.sent = now_;
         s.rung = s.told = rung;
         Time expires = s.request.deadline;
-        if (cls(s).repeat == Repeat::harmless && aim(s) > now_) {
+        if (cls(s).idempotency == Idempotency::idempotent && aim(s) > now_) {
             const bool again = s.attempts < set_.max_attempts && budget_left(1);
             expires = again ? std::max(now_ + kLeastTry, now_ + kTryPart * (aim(s) - now_)) : aim(s);
             expires = std::min(expires, s.request.deadline);
@@ -561,7 +562,7 @@
         if (v.sessions.insert(id).second) count(v, s, 1);
         recount(v);
         act(SetRung{id, rung});
-        act(Send{id, v.entry.id, expires});
+        act(SendSetup{id, v.entry.id, expires});
     }
 
     // ---- Rungs ----
@@ -578,7 +579,7 @@
     // The highest rung with room under the mark. Where even the rung that earns most for its rate has none,
     // own sessions that earn less for theirs step down first.
     int rung_for(Server& v, const Session& s) {
-        int best = cls(s).floor;
+        int best = cls(s).min_rung;
         for (int r = best + 1; r <= top(s); ++r)
             if (density(s, -1, r) > density(s, -1, best)) best = r;
         // Where the uplink is what is short, sessions on all servers of the rack can make room.
@@ -593,8 +594,8 @@
         const double part =
             kRoomPart / (1 + arrivals() * age * set_.directors / std::max<std::size_t>(1, ready_));
         int rung = -1;
-        for (int r = cls(s).floor; r <= top(s) && rate(s, r) * first_part(s) <= left * (r > best ? part : 1);
-             ++r)
+        for (int r = cls(s).min_rung;
+             r <= top(s) && rate(s, r) * first_part(s) <= left * (r > best ? part : 1); ++r)
             rung = r;
         return rung;
     }
@@ -620,14 +621,14 @@
                 if (o.answered) continue;  // nobody waits for it any more
                 if (o.request.title != s.request.title || o.request.cls != s.request.cls || o.rung != s.rung)
                     continue;
-                able = able && o.state != Session::State::held && one.to >= cls(o).floor &&
+                able = able && o.state != Session::State::held && one.to >= cls(o).min_rung &&
                        one.to <= top(o) && (by < 0 || now_ - o.risen >= kRiseEvery || now_ == o.risen);
                 worth += o.worth;
                 one.members.push_back(other);
             }
             if (!able || one.members.empty()) continue;
             const double unit = std::abs(rate(s, one.to) - rate(s, s.rung));
-            one.kb = unit * (first_part(s) + set_.join_part * (one.members.size() - 1));
+            one.kb = unit * (first_part(s) + set_.join_rate_factor * (one.members.size() - 1));
             one.density = worth * std::abs(set_.rung_worth[one.to] - set_.rung_worth[s.rung]) / one.kb;
             if (!best || (by < 0 ? one.density < best->density : one.density > best->density)) best = one;
         }
@@ -660,7 +661,7 @@
         double kb = 0, sum = 0;
         for (const auto& [id, s] : sessions_) {
             const int to = s.rung + by;
-            if (s.state == Session::State::held || to < cls(s).floor || to > top(s)) continue;
+            if (s.state == Session::State::held || to < cls(s).min_rung || to > top(s)) continue;
             const double one = std::abs(rate(s, to) - rate(s, s.rung)) * first_part(s);
             const double density = s.worth * std::abs(set_.rung_worth[to] - set_.rung_worth[s.rung]) / one;
             kb += one;
@@ -679,7 +680,7 @@
         v.looked = now_;
         const double now_used = use(v);
         if (news && now_used > kMark + kFallOver) {
-            if (now_ < v.fell + set_.notes_late + kSettle) return;
+            if (now_ < v.fell + set_.note_delay + kSettle) return;
             v.fell = now_;
             double kb = v.link.own * (1 - kMark / now_used);
             while (const auto down = step(v, -1)) {
@@ -687,7 +688,7 @@
                 kb -= down->kb;
                 take(v, *down, false);
             }
-        } else if (!news && set_.probes && !set_.report_fields.empty() && v.asked == kNever &&
+        } else if (!news && set_.can_probe && !set_.report_fields.empty() && v.asked == kNever &&
                    now_ - v.link.seen > kRiseAsk && now_used < kMark - kRiseUnder) {
             v.asked = now_;
             act(Probe{v.entry.id});
@@ -723,24 +724,26 @@
     // ---- Attempts and answers ----
 
     bool budget_left(int more) {
-        if (!set_.budget) return true;
-        const Time from = now_ - set_.budget->window;
+        if (!set_.retry_budget) return true;
+        const Time from = now_ - set_.retry_budget->window;
         while (!repeats_.empty() && repeats_.front() < from) repeats_.pop_front();
         while (!requests_.empty() && requests_.front() <= from) requests_.pop_front();
-        return repeats_.size() + more <= set_.budget->free + set_.budget->per_request * requests_.size();
+        return repeats_.size() + more <=
+               set_.retry_budget->free_retries + set_.retry_budget->retries_per_request * requests_.size();
     }
     bool may_repeat(const Session& s) {
         if (!budget_left(1)) return false;
-        if (!s.may_have_run || cls(s).repeat == Repeat::harmless) return true;
-        return cls(s).repeat == Repeat::keyed && cls(s).group == RepeatGroup::anywhere &&
-               now_ < s.sent + cls(s).repeat_window;
+        if (!s.may_have_run || cls(s).idempotency == Idempotency::idempotent) return true;
+        return cls(s).idempotency == Idempotency::keyed && cls(s).retry_scope == RetryScope::anywhere &&
+               now_ < s.sent + cls(s).retry_window;
     }
 
     void give_up(SessionId id, Time again = 0) {
         const Session& s = sessions_.at(id);
-        const bool refusable = !s.may_have_run || cls(s).repeat == Repeat::harmless ||
-                               (cls(s).repeat == Repeat::keyed && cls(s).group == RepeatGroup::anywhere);
-        if (refusable) act(Refuse{id, std::clamp(again, 0.0, set_.max_retry_after)});
+        const bool refusable =
+            !s.may_have_run || cls(s).idempotency == Idempotency::idempotent ||
+            (cls(s).idempotency == Idempotency::keyed && cls(s).retry_scope == RetryScope::anywhere);
+        if (refusable) act(Reject{id, std::clamp(again, 0.0, set_.max_retry_after)});
         else act(Fail{id});
         held_.erase(id);
         sessions_.erase(id);
@@ -748,7 +751,7 @@
 
     void on(const SessionRequest& q) {
         arrivals_ = recent() + 1, arrived_ = now_;
-        if (set_.budget) requests_.push_back(now_);
+        if (set_.retry_budget) requests_.push_back(now_);
         budget_left(0);
         if (q.length_hint) hint_sum_ += *q.length_hint, hints_ += 1;
         Session s;
@@ -792,7 +795,7 @@
         s.answered = false;
         s.server = e.server;
         s.attempts = 1;
-        s.rung = cls(s).floor;
+        s.rung = cls(s).min_rung;
         s.worth = cls(s).worth;
         sessions_[e.request.id] = s;
         plays(e.request.title);
@@ -803,7 +806,7 @@
         }
     }
 
-    void on(const SessionStarted& e) {
+    void on(const SessionEstablished& e) {
         if (Server* v = server(e.server)) {
             answered(*v);
             v->failing *= 1 - kFailEase;
@@ -823,7 +826,7 @@
         titles_.insert(title);
     }
 
-    void on(const AttemptOver& e) {
+    void on(const AttemptEnded& e) {
         Server* v = server(e.server);
         const auto it = sessions_.find(e.id);
         const bool was_out = it != sessions_.end() && it->second.state == Session::State::out;
@@ -834,8 +837,8 @@
                 if (e.outcome == Outcome::full) {
                     // "Full" is word too, the freshest there is: of the link where servers refuse by it.
                     v->full_until = now_ + kFullRest;
-                    Account& a = set_.refuses_from > 0 ? v->link : v->streams;
-                    const double least = set_.refuses_from > 0 ? set_.refuses_from : 1;
+                    Account& a = set_.full_utilization > 0 ? v->link : v->streams;
+                    const double least = set_.full_utilization > 0 ? set_.full_utilization : 1;
                     if (a.use(now_) < least) a.learn(now_, least, 0, 1);
                 }
                 if (e.outcome == Outcome::error) {
@@ -849,7 +852,7 @@
         Session& s = it->second;
         if (v && v->sessions.erase(e.id) > 0) count(*v, s, -1);
         if (cls(s).seats > 0) seats_[{s.request.title, s.request.cls}] -= 1;
-        const bool ended = e.session_over || s.answered || !was_out;
+        const bool ended = e.session_ended || s.answered || !was_out;
         if (e.outcome != Outcome::full && e.outcome != Outcome::not_connected &&
             e.outcome != Outcome::not_sent)
             s.may_have_run = true;
@@ -857,7 +860,7 @@
         if (v) recount(*v);
         if (ended) return;
         s.state = Session::State::held;
-        if (s.may_have_run && cls(s).repeat == Repeat::paid) return give_up(e.id);
+        if (s.may_have_run && cls(s).idempotency == Idempotency::non_idempotent) return give_up(e.id);
         if (now_ >= aim(s) - kSetUp / 2 || s.errors.size() >= kErrors) return give_up(e.id);
         place(e.id);
     }
@@ -874,7 +877,7 @@
         else it->second.answered = true;  // its attempt still holds a stream and a seat
     }
 
-    void on(const AlarmDue&) {
+    void on(const TimerExpired&) {
         if (now_ >= next_alarm_) next_alarm_ = kAlways;
         const std::set<SessionId> held = held_;
         std::vector<std::pair<Time, SessionId>> order;  // first come, first served
@@ -894,8 +897,8 @@
         changed_.clear();
         if (!mine_.empty()) wake(now_ + kLook);
         if (!set_.list_on_request) return;
-        if (now_ - asked_ > set_.ask_within / 3) act(FetchList{}), asked_ = now_;
-        wake(asked_ + set_.ask_within / 3);
+        if (now_ - asked_ > set_.max_list_poll_interval / 3) act(FetchServerList{}), asked_ = now_;
+        wake(asked_ + set_.max_list_poll_interval / 3);
     }
 
     // ---- Membership ----
@@ -917,8 +920,9 @@
             if (entry.last_start > v.entry.last_start) chill(v, std::max(v.cold_since, entry.last_start));
             v.entry = entry;
             v.listed = entry.state != ServerState::gone;
-            v.link.total = (set_.weighted ? entry.weight : 1) * set_.weight_kb;
-            v.streams.total = entry.kind < int(set_.kind_streams.size()) ? set_.kind_streams[entry.kind] : 0;
+            v.link.total = (set_.use_weights ? entry.weight : 1) * set_.link_kb;
+            v.streams.total =
+                entry.kind < int(set_.max_streams_by_kind.size()) ? set_.max_streams_by_kind[entry.kind] : 0;
             uplinks_[rack(v)].total = set_.rack_kb;
         }
         // The fleet has changed: what all its things can carry, and carry of ours, is summed anew.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -68,17 +68,17 @@
     std::map<std::string, std::string> values_;
 };
 
-Repeat repeat_of(const std::string& word) {
-    if (word == "pure") return Repeat::harmless;
-    if (word == "token") return Repeat::keyed;
-    if (word == "side_effect") return Repeat::paid;
+Idempotency repeat_of(const std::string& word) {
+    if (word == "pure") return Idempotency::idempotent;
+    if (word == "token") return Idempotency::keyed;
+    if (word == "side_effect") return Idempotency::non_idempotent;
     throw SettingsError("unknown effect of a class: " + word);
 }
 
-RepeatGroup group_of(const std::string& word) {
-    if (word == "zone") return RepeatGroup::same_zone;
-    if (word == "cell") return RepeatGroup::same_cell;
-    return RepeatGroup::anywhere;
+RetryScope group_of(const std::string& word) {
+    if (word == "zone") return RetryScope::same_zone;
+    if (word == "cell") return RetryScope::same_cell;
+    return RetryScope::anywhere;
 }
 
 ReportField field_of(const std::string& name) {
@@ -102,41 +102,42 @@
     const Values v(text);
     Settings s;
     s.directors = v.count("balancers", 1);
-    s.self = v.count("self_index", 0);
+    s.self_index = v.count("self_index", 0);
     s.zone = v.count("az", 0);
     s.list_on_request = v.text("discovery", "pushed") == "on_request";
-    s.probes = v.flag("limits.probes", false);
-    s.cancel = v.flag("limits.cancel", false);
-    s.weighted = v.text("weight_source", "none") != "none";
+    s.can_probe = v.flag("limits.probes", false);
+    s.can_cancel = v.flag("limits.cancel", false);
+    s.use_weights = v.text("weight_source", "none") != "none";
     s.max_attempts = v.count("limits.max_attempts", 1);
     s.max_retry_after = v.flag("limits.retry_after", false) ? v.number("limits.max_retry_after_ms", 0) : 0;
     s.connect_timeout = v.number("limits.connect_timeout_ms", 0);
     s.answer_slack = v.number("safety.answer_slack_ms", 0);
-    s.stop_within = v.number("safety.stop_sending_within_ms", 0);
-    s.ask_within = v.number("safety.ask_within_ms", 0);
-    s.cold_from = v.number("safety.cold_from", 1);
-    s.cold_time = v.number("safety.cold_ms", 0);
-    s.fall_multiple = v.number("safety.tip_multiple", 0);
-    s.fall_window = v.number("safety.tip_after_ms", 0);
+    s.drain_stop_within = v.number("safety.stop_sending_within_ms", 0);
+    s.max_list_poll_interval = v.number("safety.ask_within_ms", 0);
+    s.initial_warmth = v.number("safety.cold_from", 1);
+    s.warmup_time = v.number("safety.cold_ms", 0);
+    s.overload_multiple = v.number("safety.tip_multiple", 0);
+    s.overload_window = v.number("safety.tip_after_ms", 0);
     if (v.has("safety.resend_ratio") && v.has("safety.resend_span_ms"))
-        s.budget = BudgetSettings{v.number("safety.resend_ratio", 0), v.number("safety.free_resends", 0),
-                                  v.number("safety.resend_span_ms", 0)};
+        s.retry_budget =
+            RetryBudgetSettings{v.number("safety.resend_ratio", 0), v.number("safety.free_resends", 0),
+                                v.number("safety.resend_span_ms", 0)};
     const std::string f = "family_info.";
     s.cells = v.count(f + "places", 0);
     s.racks = v.count(f + "racks", 0);
-    s.kind_streams = v.numbers(f + "kind_slots");
+    s.max_streams_by_kind = v.numbers(f + "kind_slots");
     s.fleet_kb = v.number(f + "fleet_kb", 0);
     s.rack_kb = v.number(f + "rack_kb", 0);
-    s.weight_kb = v.number(f + "weight_kb", 0);
-    s.refuses_from = v.number(f + "refuses_from", 0);
-    s.join_part = v.number(f + "shared_adds", 1);
+    s.link_kb = v.number(f + "weight_kb", 0);
+    s.full_utilization = v.number(f + "refuses_from", 0);
+    s.join_rate_factor = v.number(f + "shared_adds", 1);
     s.rung_kb = v.numbers(f + "rung_kb");
     s.rung_worth = v.numbers(f + "rung_worth");
     if (s.rung_kb.size() != s.rung_worth.size())
         throw SettingsError("rung_kb and rung_worth differ in length");
-    s.short_points = v.number(f + "stall", 0);
-    s.notes_late = v.number(f + "seen_after_ms", 0);
-    s.link_note_every = v.number(f + "told_every_ms", 0);
+    s.shortfall_penalty = v.number(f + "stall", 0);
+    s.note_delay = v.number(f + "seen_after_ms", 0);
+    s.link_note_interval = v.number(f + "told_every_ms", 0);
     s.switch_cost_s = v.number(f + "switch_cost_s", 0);
     s.over_share_worth = v.number("over_share_worth", 1);
     s.cross_zone_price = v.number("fees.cross_zone", 0);
@@ -151,14 +152,14 @@
         ClassSettings c;
         c.name = v.text(p + "name");
         c.worth = v.number(p + "importance", 1);
-        c.aim = v.number(p + "objective_ms", 0);
+        c.startup_target = v.number(p + "objective_ms", 0);
         c.patience = v.number(p + "give_up_ms", 0);
-        c.repeat = repeat_of(v.text(p + "effect", "side_effect"));
-        c.group = group_of(v.text(p + "group", "all"));
-        c.repeat_window = v.number(p + "window_ms", 0);
-        c.floor = static_cast<int>(at_or(floors, k, 0.0));
-        c.top = std::min(rungs - 1, static_cast<int>(at_or(tops, k, double(rungs - 1))));
-        c.rate_part = at_or(parts, k, 1.0);
+        c.idempotency = repeat_of(v.text(p + "effect", "side_effect"));
+        c.retry_scope = group_of(v.text(p + "group", "all"));
+        c.retry_window = v.number(p + "window_ms", 0);
+        c.min_rung = static_cast<int>(at_or(floors, k, 0.0));
+        c.max_rung = std::min(rungs - 1, static_cast<int>(at_or(tops, k, double(rungs - 1))));
+        c.rate_factor = at_or(parts, k, 1.0);
         c.seats = static_cast<int>(at_or(seats, k, 0.0));
         c.live = at_or(live, k, std::string("false")) == "true";
         s.classes.push_back(c);
--- a/tests/bench_free.hpp
+++ b/tests/bench_free.hpp
@@ -17,38 +17,38 @@
 inline Settings small_site() {
     Settings s;
     s.directors = 2;
-    s.cancel = s.weighted = true;
+    s.can_cancel = s.use_weights = true;
     s.max_attempts = 4;
     s.max_retry_after = 2000;
     s.answer_slack = 40;
-    s.stop_within = 500;
-    s.cold_from = 0.5;
-    s.cold_time = 10000;
-    s.fall_multiple = 3;
-    s.fall_window = 1000;
+    s.drain_stop_within = 500;
+    s.initial_warmth = 0.5;
+    s.warmup_time = 10000;
+    s.overload_multiple = 3;
+    s.overload_window = 1000;
     s.cells = 6;
     s.racks = 2;
-    s.kind_streams = {20};
+    s.max_streams_by_kind = {20};
     s.rack_kb = 24000;
-    s.weight_kb = 10000;
+    s.link_kb = 10000;
     s.fleet_kb = 60000;
     s.rung_kb = {100, 250, 500, 1000, 1600};
     s.rung_worth = {0.2, 0.45, 0.65, 0.85, 1.0};
-    s.notes_late = 700;
+    s.note_delay = 700;
     ClassSettings paid;
     paid.name = "paid";
     paid.worth = 2;
-    paid.aim = 1000;
+    paid.startup_target = 1000;
     paid.patience = 4000;
-    paid.repeat = Repeat::paid;
-    paid.floor = 1;
-    paid.top = 4;
-    paid.rate_part = 1;
+    paid.idempotency = Idempotency::non_idempotent;
+    paid.min_rung = 1;
+    paid.max_rung = 4;
+    paid.rate_factor = 1;
     ClassSettings free = paid;
     free.name = "free";
     free.worth = 1;
-    free.repeat = Repeat::harmless;
-    free.floor = 0;
+    free.idempotency = Idempotency::idempotent;
+    free.min_rung = 0;
     s.classes = {paid, free};
     s.report_fields = {ReportField::streams, ReportField::link, ReportField::uplink};
     return s;
@@ -134,7 +134,7 @@
         Seen& s = sessions.at(id);
         s.playing = s.answered = true;
         s.out = false;
-        feed(SessionStarted{id, s.attempt, s.server, 80});
+        feed(SessionEstablished{id, s.attempt, s.server, 80});
     }
     void over(SessionId id, Outcome outcome, bool session_over, LoadReport report = {}) {
         Seen& s = sessions.at(id);
@@ -142,7 +142,7 @@
         if (session_over) s.answered = true;
         if (outcome != Outcome::full && outcome != Outcome::not_connected && outcome != Outcome::not_sent)
             s.may_have_run = true;
-        AttemptOver e{id, s.attempt, s.server, outcome, 80, session_over, report};
+        AttemptEnded e{id, s.attempt, s.server, outcome, 80, session_over, report};
         feed(e);
     }
     // Lets time pass, firing alarms and expiring attempts as the world would.
@@ -159,7 +159,7 @@
                 over(due, Outcome::timed_out, false);
             } else if (!alarms.empty() && *alarms.begin() <= now && at < end) {
                 alarms.erase(alarms.begin());
-                feed(AlarmDue{0});
+                feed(TimerExpired{0});
             } else {
                 break;
             }
@@ -184,32 +184,33 @@
   private:
     SessionId next_id_ = 0;
 
-    void check(const Send& a) {
+    void check(const SendSetup& a) {
         Seen& s = sessions.at(a.id);
         EXPECT_FALSE(s.answered) << "sent after its answer";
         EXPECT_FALSE(s.out) << "two attempts out";
-        if (set.classes[s.q.cls].repeat == Repeat::paid) {
+        if (set.classes[s.q.cls].idempotency == Idempotency::non_idempotent) {
             EXPECT_FALSE(s.may_have_run) << "paid set-up repeated";
         }
         if (stopped.count(a.server)) {
-            EXPECT_LE(now, stopped[a.server] + set.stop_within) << "drain not kept";
+            EXPECT_LE(now, stopped[a.server] + set.drain_stop_within) << "drain not kept";
         }
         if (s.sends++ > 0) {
             repeats.push_back(now);
-            if (set.budget) {
+            if (set.retry_budget) {
                 int more = 0, base = 0;
-                for (const Time t : repeats) more += t >= now - set.budget->window;
-                for (const Time t : taken) base += t > now - set.budget->window;
-                EXPECT_LE(more, set.budget->free + set.budget->per_request * base) << "over budget";
+                for (const Time t : repeats) more += t >= now - set.retry_budget->window;
+                for (const Time t : taken) base += t > now - set.retry_budget->window;
+                EXPECT_LE(more, set.retry_budget->free_retries + set.retry_budget->retries_per_request * base)
+                    << "over budget";
             }
         }
-        if (cold.count(a.server) && now < cold[a.server] + set.cold_time && set.fall_multiple > 0) {
+        if (cold.count(a.server) && now < cold[a.server] + set.warmup_time && set.overload_multiple > 0) {
             auto& times = cold_sends[a.server];
             times.push_back(now);
             int in_window = 0;
-            for (const Time t : times) in_window += t > now - set.fall_window;
-            const double part = set.kind_streams[0] / set.cold_time * set.cold_from * set.fall_multiple *
-                                set.fall_window / set.directors;
+            for (const Time t : times) in_window += t > now - set.overload_window;
+            const double part = set.max_streams_by_kind[0] / set.warmup_time * set.initial_warmth *
+                                set.overload_multiple * set.overload_window / set.directors;
             EXPECT_LE(in_window, std::max(1.0, std::ceil(part))) << "cold server pushed";
         }
         s.attempt += 1;
@@ -218,7 +219,7 @@
         s.expires = a.expires > 0 ? std::min(a.expires, s.q.deadline) : s.q.deadline;
         EXPECT_LE(s.sends, set.max_attempts);
         const ClassSettings& c = set.classes[s.q.cls];
-        EXPECT_GE(s.rung, c.floor) << "below the floor";
+        EXPECT_GE(s.rung, c.min_rung) << "below the floor";
         if (c.seats > 0) {
             int held = 0;
             for (const auto& [id, o] : sessions)
@@ -226,10 +227,10 @@
             EXPECT_LE(held, c.seats) << "over its seats";
         }
     }
-    void check(const Refuse& a) {
+    void check(const Reject& a) {
         Seen& s = sessions.at(a.id);
         EXPECT_FALSE(s.answered) << "answered twice";
-        if (set.classes[s.q.cls].repeat == Repeat::paid) {
+        if (set.classes[s.q.cls].idempotency == Idempotency::non_idempotent) {
             EXPECT_FALSE(s.may_have_run || s.out);
         }
         EXPECT_LE(a.retry_after, set.max_retry_after);
@@ -241,11 +242,11 @@
     }
     void check(const SetRung& a) {
         Seen& s = sessions.at(a.id);
-        EXPECT_GE(a.rung, set.classes[s.q.cls].floor) << "below the floor";
-        EXPECT_LE(a.rung, std::max(set.classes[s.q.cls].floor, s.q.top_rung)) << "above the viewer's best";
+        EXPECT_GE(a.rung, set.classes[s.q.cls].min_rung) << "below the floor";
+        EXPECT_LE(a.rung, std::max(set.classes[s.q.cls].min_rung, s.q.top_rung)) << "above the viewer's best";
         s.rung = a.rung;
     }
-    void check(const SetAlarm& a) { alarms.insert(a.at); }
+    void check(const SetTimer& a) { alarms.insert(a.at); }
     void check(const Cancel& a) { EXPECT_TRUE(sessions.at(a.id).sends > 0); }
     template <typename A>
     void check(const A&) {}
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -80,11 +80,11 @@
 }
 TEST(SettingsText, AbsentKeysMeanNoSuchRule) {
     const Settings s = parse_settings(kConfig);
-    EXPECT_FALSE(s.budget.has_value());
-    EXPECT_EQ(s.fall_multiple, 0);
+    EXPECT_FALSE(s.retry_budget.has_value());
+    EXPECT_EQ(s.overload_multiple, 0);
     EXPECT_EQ(s.classes.at(0).seats, 0);
-    EXPECT_EQ(s.classes.at(0).top, 1);
-    EXPECT_FALSE(s.probes);
+    EXPECT_EQ(s.classes.at(0).max_rung, 1);
+    EXPECT_FALSE(s.can_probe);
 }
 TEST(SettingsText, BadValuesAreReported) {
     EXPECT_THROW(parse_settings("balancers=two"), WireError);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -21,9 +21,9 @@
 };
 
 double bearable(const Settings& s, Time when) {
-    const double age = std::clamp((when - kStart) / s.cold_time, 0.0, 1.0);
-    const double warmth = s.cold_from + (1 - s.cold_from) * age * age;
-    return s.kind_streams[0] / s.cold_time * warmth * s.fall_multiple * s.fall_window;
+    const double age = std::clamp((when - kStart) / s.warmup_time, 0.0, 1.0);
+    const double warmth = s.initial_warmth + (1 - s.initial_warmth) * age * age;
+    return s.max_streams_by_kind[0] / s.warmup_time * warmth * s.overload_multiple * s.overload_window;
 }
 
 class Instance {
@@ -54,20 +54,20 @@
     void turn(Time now) {
         while (!alarms_.empty() && *alarms_.begin() <= now) {
             alarms_.erase(alarms_.begin());
-            feed(now, AlarmDue{0});
+            feed(now, TimerExpired{0});
         }
         while (!out_.empty() && out_.begin()->first <= now) {
-            const Send send = out_.begin()->second;
+            const SendSetup send = out_.begin()->second;
             out_.erase(out_.begin());
             const int attempt = attempts_[send.id] - 1;
             if (random_() % 8 == 0) {
-                AttemptOver over{send.id, attempt, send.server, Outcome::error, 5, false, {}};
+                AttemptEnded over{send.id, attempt, send.server, Outcome::error, 5, false, {}};
                 feed(now, over);
                 continue;
             }
-            feed(now, SessionStarted{send.id, attempt, send.server, 40});
+            feed(now, SessionEstablished{send.id, attempt, send.server, 40});
             if (random_() % 2)
-                feed(now, AttemptOver{send.id, attempt, send.server, Outcome::ended, 45, true, {}});
+                feed(now, AttemptEnded{send.id, attempt, send.server, Outcome::ended, 45, true, {}});
         }
     }
 
@@ -76,10 +76,10 @@
         std::vector<Action> actions;
         director_.handle(now, event, actions);
         for (const Action& a : actions) {
-            if (const auto* alarm = std::get_if<SetAlarm>(&a)) alarms_.insert(alarm->at);
+            if (const auto* alarm = std::get_if<SetTimer>(&a)) alarms_.insert(alarm->at);
             if (const auto* probe = std::get_if<Probe>(&a))
-                feed(now, ProbeAnswered{probe->server, Outcome::ended, 1, {0, 0, 0}});
-            if (const auto* send = std::get_if<Send>(&a)) {
+                feed(now, ProbeCompleted{probe->server, Outcome::ended, 1, {0, 0, 0}});
+            if (const auto* send = std::get_if<SendSetup>(&a)) {
                 if (send->server == kCold) load_.sent.push_back(now);
                 attempts_[send->id] += 1;
                 out_.emplace(now + 40, *send);
@@ -92,21 +92,21 @@
     std::mt19937 random_;
     Load& load_;
     std::multiset<Time> alarms_;
-    std::multimap<Time, Send> out_;
+    std::multimap<Time, SendSetup> out_;
     std::map<SessionId, int> attempts_;
 };
 
 Settings site(int directors, double cold_from) {
     Settings s = small_site();
     s.directors = directors;
-    s.cold_from = cold_from;
-    s.kind_streams = {60};
-    s.cold_time = 8000;
-    s.fall_multiple = 4;
-    s.fall_window = 1000;
-    s.join_part = 0.2;
+    s.initial_warmth = cold_from;
+    s.max_streams_by_kind = {60};
+    s.warmup_time = 8000;
+    s.overload_multiple = 4;
+    s.overload_window = 1000;
+    s.join_rate_factor = 0.2;
     s.racks = 0;
-    s.weight_kb = 1e7;
+    s.link_kb = 1e7;
     ClassSettings live = s.classes[1];
     live.live = true;
     s.classes.push_back(live);
@@ -133,7 +133,7 @@
     }
     // Until it started the server of that id was not there; each hears of it when it is told.
     const double gap = 300;  // somebody waits at each director whenever its pace lets one through
-    for (Time now = kStart; now < kStart + s.cold_time; now += 5) {
+    for (Time now = kStart; now < kStart + s.warmup_time; now += 5) {
         for (One& one : all) {
             if (now >= one.restart) {  // it knows only what the list of its start says
                 one.restart = 1e18;
@@ -161,14 +161,14 @@
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         const Load load = run(s, seed);
         for (std::size_t first = 0, last = 0; last < load.sent.size(); ++last) {
-            while (load.sent[first] <= load.sent[last] - s.fall_window) ++first;
+            while (load.sent[first] <= load.sent[last] - s.overload_window) ++first;
             const double n = bearable(s, load.sent[last]);
             ASSERT_LE(static_cast<double>(last - first + 1), n + 2 * std::sqrt(n) + 2)
                 << "seed " << seed << " at " << load.sent[last];
         }
         // Once all have been told and those that are to start anew have.
-        for (Time t = kStart + kKnown; t < kStart + s.cold_time; t += 10)
-            parts += bearable(s, t) * 10 / s.fall_window;
+        for (Time t = kStart + kKnown; t < kStart + s.warmup_time; t += 10)
+            parts += bearable(s, t) * 10 / s.overload_window;
         for (const Time t : load.sent) sum += t >= kStart + kKnown;
     }
     // All of them want more than it bears all the time, so what comes is the pace itself: half of what is
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -21,8 +21,8 @@
 TEST(Config, TheExampleIsGood) {
     const auto loaded = config::load(example().dump());
     for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << ": " << f.why;
-    EXPECT_EQ(loaded.config.settings.classes.at(0).repeat, Repeat::paid);
-    EXPECT_EQ(loaded.config.settings.kind_streams, (std::vector<double>{25, 50}));
+    EXPECT_EQ(loaded.config.settings.classes.at(0).idempotency, Idempotency::non_idempotent);
+    EXPECT_EQ(loaded.config.settings.max_streams_by_kind, (std::vector<double>{25, 50}));
 }
 TEST(Config, EveryFaultIsToldWithItsPath) {
     json doc = example();
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -82,7 +82,7 @@
         }
         s->id = last_;
         for (const auto& c : config_.settings.classes)
-            if (c.name == s->cls) s->paid = c.repeat == Repeat::paid;
+            if (c.name == s->cls) s->paid = c.idempotency == Idempotency::non_idempotent;
         if (slip_ == Slip::never_answers && last_ % 5 == 0) {
             kept_.push_back(e);
             return;
@@ -106,7 +106,7 @@
         int rung = 1;
         for (const auto& c : config_.settings.classes)
             if (c.name == s->cls) {
-                rung = slip_ == Slip::under_floor ? 0 : std::max(c.floor, 0);
+                rung = slip_ == Slip::under_floor ? 0 : std::max(c.min_rung, 0);
                 auto& held = held_[s->cls + "/" + s->title];
                 if (c.seats > 0 && slip_ != Slip::over_seats && held >= c.seats) return answer(s, 503, "");
                 held += 1;
--- a/tests/decide/reclaim_test.cpp
+++ b/tests/decide/reclaim_test.cpp
@@ -12,7 +12,7 @@
     settings.rung_kb = {1, 2, 3};
     settings.tenants = {{"t", 0, 1}};
     ClassSettings capped, uncapped;
-    capped.seats = 2, capped.floor = 1;
+    capped.seats = 2, capped.min_rung = 1;
     settings.classes = {capped, uncapped};
     ReclaimCandidate acceptable;
     acceptable.cls = 0, acceptable.tenant = 0, acceptable.rung = 1, acceptable.held_sessions = 1;
--- a/tests/nodes/link_test.cpp
+++ b/tests/nodes/link_test.cpp
@@ -48,7 +48,7 @@
     void SetUp() override {
         settings.rung_kb = {100};
         ClassSettings c;
-        c.name = "c", c.rate_part = 1;
+        c.name = "c", c.rate_factor = 1;
         settings.classes = {c};
         for (int k = 0; k < kNodes; ++k) {
             standins::NodeSettings s;
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -64,7 +64,7 @@
     std::mt19937 random(seed);
     Director director(config.settings, 99);
     std::multimap<Time, std::uint64_t> alarms;
-    std::map<SessionId, std::pair<Send, int>> open;
+    std::map<SessionId, std::pair<SendSetup, int>> open;
     std::map<SessionId, int> attempts;
     Time now = 1000;
     const auto feed = [&](const Event& event) {
@@ -73,17 +73,17 @@
         out += "|" + std::to_string(event.index());
         for (const Action& a : actions) {
             out += " " + std::to_string(a.index());
-            if (const auto* x = std::get_if<Send>(&a)) {
+            if (const auto* x = std::get_if<SendSetup>(&a)) {
                 out += ":" + std::to_string(x->id) + ">" + std::to_string(x->server) + "@" +
                        std::to_string(x->expires);
                 open[x->id] = {*x, attempts[x->id]++};
             }
-            if (const auto* x = std::get_if<Refuse>(&a))
+            if (const auto* x = std::get_if<Reject>(&a))
                 out += ":" + std::to_string(x->id) + "w" + std::to_string(x->retry_after);
             if (const auto* x = std::get_if<Fail>(&a)) out += ":" + std::to_string(x->id);
             if (const auto* x = std::get_if<SetRung>(&a))
                 out += ":" + std::to_string(x->id) + "r" + std::to_string(x->rung);
-            if (const auto* x = std::get_if<SetAlarm>(&a)) alarms.emplace(x->at, x->mark);
+            if (const auto* x = std::get_if<SetTimer>(&a)) alarms.emplace(x->at, x->timer_id);
         }
     };
     ServerList list;
@@ -99,7 +99,7 @@
         while (!alarms.empty() && alarms.begin()->first <= now) {
             const auto mark = alarms.begin()->second;
             alarms.erase(alarms.begin());
-            feed(AlarmDue{mark});
+            feed(TimerExpired{mark});
         }
         SessionRequest q;
         q.id = id;
@@ -118,14 +118,14 @@
         const auto fate = random() % 8;
         if (fate == 0) {
             open.erase(it);
-            feed(AttemptOver{send.id, attempt, send.server, Outcome::full, 5, false, {}});
+            feed(AttemptEnded{send.id, attempt, send.server, Outcome::full, 5, false, {}});
         } else if (fate == 1) {
             open.erase(it);
-            feed(AttemptOver{send.id, attempt, send.server, Outcome::reset, 5, false, {}});
+            feed(AttemptEnded{send.id, attempt, send.server, Outcome::reset, 5, false, {}});
         } else if (fate < 5) {
             open.erase(it);
-            feed(SessionStarted{send.id, attempt, send.server, 40});
-            feed(AttemptOver{send.id, attempt, send.server, Outcome::ended, 900, true, {}});
+            feed(SessionEstablished{send.id, attempt, send.server, 40});
+            feed(AttemptEnded{send.id, attempt, send.server, Outcome::ended, 900, true, {}});
         }
     }
     return out;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -23,13 +23,13 @@
 TEST(Answers, NoHolderIsRefusedAtOnce) {
     Watch w(small_site());
     const SessionId id = w.ask(1);
-    EXPECT_EQ(w.count<Refuse>(), 1);
+    EXPECT_EQ(w.count<Reject>(), 1);
     EXPECT_TRUE(w.sessions.at(id).answered);
 }
 
 TEST(Answers, UnusedFleetGrantsAtOnceAtTheHighestRung) {
     Watch w = warm(small_site());
-    for (ServerId id = 100; id < 106; ++id) w.feed(ProbeAnswered{id, Outcome::ended, 1, {0, 0, 0}});
+    for (ServerId id = 100; id < 106; ++id) w.feed(ProbeCompleted{id, Outcome::ended, 1, {0, 0, 0}});
     const SessionId id = w.ask(1);
     EXPECT_TRUE(w.sent(id));
     EXPECT_EQ(w.sessions.at(id).rung, 4);
@@ -52,8 +52,8 @@
         ASSERT_TRUE(w.sent(id));
         w.now += 300;
         w.over(id, lost, false);
-        EXPECT_EQ(w.count<Send>(), 0);
-        EXPECT_EQ(w.count<Refuse>(), 0);
+        EXPECT_EQ(w.count<SendSetup>(), 0);
+        EXPECT_EQ(w.count<Reject>(), 0);
         EXPECT_EQ(w.count<Fail>(), 1);
     }
 }
@@ -79,7 +79,7 @@
 // A client takes back a hundred set-ups at once: they earn no further attempts for those that come then.
 TEST(Answers, WhatIsTakenBackEarnsNoFurtherAttempts) {
     Settings set = small_site();
-    set.budget = BudgetSettings{0.3, 2, 10000};
+    set.retry_budget = RetryBudgetSettings{0.3, 2, 10000};
     Watch w = warm(set);
     for (int k = 0; k < 100; ++k) {
         const SessionId id = w.ask(1);
@@ -189,7 +189,8 @@
         w.pass(500);
         sent += w.sessions.at(id).sends;
     }
-    const double bearable = s.kind_streams[0] / s.cold_time * s.cold_from * s.fall_multiple * 500;
+    const double bearable =
+        s.max_streams_by_kind[0] / s.warmup_time * s.initial_warmth * s.overload_multiple * 500;
     EXPECT_LE(sent, bearable);
 }
 
@@ -222,7 +223,7 @@
 
 TEST(Budget, SlidingWindowHolds) {
     Settings set = small_site();
-    set.budget = BudgetSettings{0.1, 2, 10000};
+    set.retry_budget = RetryBudgetSettings{0.1, 2, 10000};
     Watch w = warm(set);
     for (int k = 0; k < 60; ++k) {
         w.ask(1, k);
@@ -248,8 +249,8 @@
 
 TEST(Clock, PacesAboveTheShareAndHoldsOrRefuses) {
     Settings set = small_site();
-    set.kind_streams = {4};
-    set.fall_multiple = 0;
+    set.max_streams_by_kind = {4};
+    set.overload_multiple = 0;
     set.directors = 1;
     Watch w = warm(set, 1);
     int sent = 0;
@@ -264,9 +265,9 @@
 
 TEST(Join, ViewersOfOneLiveTitleShareAStreamUnpaced) {
     Settings set = small_site();
-    set.join_part = 0.15;
+    set.join_rate_factor = 0.15;
     set.classes[0].live = true;
-    set.kind_streams = {4};
+    set.max_streams_by_kind = {4};
     set.directors = 1;
     Watch w = warm(set, 3);
     std::set<ServerId> used;
@@ -284,7 +285,7 @@
 TEST(Join, AllDirectorsMeetAtOneServerForALiveTitle) {
     Settings s = small_site();
     s.directors = 100;
-    s.join_part = 0.2;
+    s.join_rate_factor = 0.2;
     s.classes[1].live = true;
     std::set<ServerId> of_one, of_many;
     for (int k = 0; k < 40; ++k) {
@@ -299,7 +300,7 @@
 
 TEST(Join, ASharedStreamStepsDownWithAViewerInSetUp) {
     Settings set = small_site();
-    set.join_part = 0.15;
+    set.join_rate_factor = 0.15;
     set.classes[0].live = true;
     set.directors = 1;
     Watch w = warm(set, 1);
@@ -325,7 +326,7 @@
     for (const SessionId id : ids) low += w.sessions.at(id).rung;
     EXPECT_LT(low, before);
     for (int k = 0; k < 40; ++k) {
-        w.feed(ProbeAnswered{100, Outcome::ended, 1, {4, 0.2f, 0.1f}});
+        w.feed(ProbeCompleted{100, Outcome::ended, 1, {4, 0.2f, 0.1f}});
         w.pass(1000);
     }
     for (const SessionId id : ids) after += w.sessions.at(id).rung;
@@ -388,7 +389,7 @@
     w.pass(2500);
     const int first = w.sessions.at(900).rung;
     EXPECT_GE(first, 2);
-    w.feed(ProbeAnswered{100, Outcome::ended, 1, {1, 0.05f, 0.05f}});
+    w.feed(ProbeCompleted{100, Outcome::ended, 1, {1, 0.05f, 0.05f}});
     w.pass(5000);
     EXPECT_EQ(w.sessions.at(900).rung, first);
 }
@@ -396,7 +397,7 @@
 TEST(Rungs, NewSessionsLeaveRoomForThoseToCome) {
     Settings set = small_site();
     set.directors = 1;
-    set.weight_kb = 3000;
+    set.link_kb = 3000;
     Watch w = warm(set, 1);
     const SessionId id = w.ask(1, 1);
     ASSERT_TRUE(w.sent(id));
@@ -434,7 +435,7 @@
         Watch w(s);
         w.list(ListKind::full, fleet(40));
         for (ServerId id = 100; id < 130; ++id)
-            w.feed(ProbeAnswered{id, Outcome::ended, 1, {12, 0.6f, 0.1f}});
+            w.feed(ProbeCompleted{id, Outcome::ended, 1, {12, 0.6f, 0.1f}});
         std::vector<ServerEntry> others = fleet(40);
         others.erase(others.begin() + (heard ? 0 : 39));  // the one that may be sent to
         for (ServerEntry& e : others) e.state = ServerState::draining;
@@ -461,7 +462,7 @@
 TEST(Rungs, OwnSessionsStepDownBeforeANewOneIsRefused) {
     Settings set = small_site();
     set.directors = 1;
-    set.weight_kb = 3300;
+    set.link_kb = 3300;
     Watch w = warm(set, 1);
     w.adopt(900, 1, 100, 1, 4);
     w.adopt(901, 1, 100, 2, 4);
@@ -474,10 +475,10 @@
 TEST(Alarms, AnIdleDirectorSleeps) {
     Watch w(small_site());
     w.list(ListKind::full, {entry(1, 0), entry(2, 1)});
-    EXPECT_EQ(w.count<SetAlarm>(), 0);
+    EXPECT_EQ(w.count<SetTimer>(), 0);
     const SessionId id = w.ask(1);
     ASSERT_TRUE(w.sent(id));
-    EXPECT_EQ(w.count<SetAlarm>(), 1);
+    EXPECT_EQ(w.count<SetTimer>(), 1);
     w.start(id);
     w.over(id, Outcome::ended, true);
     w.pass(5000);
@@ -489,7 +490,7 @@
     set.directors = 2;
     Watch w = warm(set, 1);
     for (int k = 0; k < 4; ++k) w.adopt(900 + k, 1, 100, k, 3);
-    w.feed(ProbeAnswered{100, Outcome::ended, 1, {4, 0.4f, 0.17f}});  // all of it is ours
+    w.feed(ProbeCompleted{100, Outcome::ended, 1, {4, 0.4f, 0.17f}});  // all of it is ours
     const SessionId id = w.ask(1, 9);
     EXPECT_EQ(w.sessions.at(id).rung, 3);
 }
@@ -518,7 +519,7 @@
         set.tenants = {{"a", 0.2, 1}};
         set.over_share_worth = 0.1;
         set.directors = 1;
-        set.weight_kb = 3300;
+        set.link_kb = 3300;
         Watch w = warm(set, 1);
         w.adopt(900, 1, 100, 1, 4);
         w.adopt(901, 1, 100, 2, 4);
@@ -633,7 +634,7 @@
 // Low rungs rise on word only: a server of ours that seems to have room is asked for it now and then.
 TEST(Reports, OwnServersWithRoomAreAskedForRises) {
     Settings s = small_site();
-    s.probes = true;
+    s.can_probe = true;
     Watch w(s);
     w.list(ListKind::full, fleet(2));
     w.adopt(900, 1, 100, 5, 0);
@@ -642,7 +643,7 @@
         w.pass(100);
         if (w.count<Probe>() == 0) continue;
         ++probes;
-        w.feed(ProbeAnswered{100, Outcome::ended, 1, {10, 0.9f, 0.1f}});
+        w.feed(ProbeCompleted{100, Outcome::ended, 1, {10, 0.9f, 0.1f}});
     }
     EXPECT_GE(probes, 1);
     EXPECT_LE(probes, 4);
@@ -652,7 +653,7 @@
 // The server chosen is asked before the grant: its word decides, and one that says nothing is passed over.
 TEST(Reports, AServerIsAskedBeforeTheGrant) {
     Settings s = small_site();
-    s.probes = true;
+    s.can_probe = true;
     for (const bool answers : {true, false}) {
         Watch w(s);
         w.list(ListKind::full, {entry(100, 0), entry(101, 1)});
@@ -663,9 +664,9 @@
         for (const Action& a : w.last)
             if (const Probe* p = std::get_if<Probe>(&a)) asked = p->server;
         w.now += 10;
-        if (answers) w.feed(ProbeAnswered{asked, Outcome::ended, 1, {20, 1.2f, 0.5f}});
+        if (answers) w.feed(ProbeCompleted{asked, Outcome::ended, 1, {20, 1.2f, 0.5f}});
         w.pass(65);
-        w.feed(ProbeAnswered{201 - asked, Outcome::ended, 1, {2, 0.1f, 0.1f}});
+        w.feed(ProbeCompleted{201 - asked, Outcome::ended, 1, {2, 0.1f, 0.1f}});
         w.pass(30);
         EXPECT_TRUE(w.sent(id));
         EXPECT_EQ(w.sessions.at(id).server, 201 - asked);
@@ -675,7 +676,7 @@
 // A set-up turned away as full is word of a full server.
 TEST(Reports, FullIsWord) {
     Settings s = small_site();
-    s.refuses_from = 1;
+    s.full_utilization = 1;
     Watch w(s);
     w.list(ListKind::full, fleet(2));
     const SessionId id = w.ask(1);
@@ -687,8 +688,8 @@
 
 TEST(Reports, NoneOrNonsenseIsSafe) {
     Watch w = warm(small_site());
-    w.feed(ProbeAnswered{100, Outcome::ended, 1, {NAN, -5.f, INFINITY, 7.f}});
-    w.feed(ProbeAnswered{100, Outcome::timed_out, 250, {}});
+    w.feed(ProbeCompleted{100, Outcome::ended, 1, {NAN, -5.f, INFINITY, 7.f}});
+    w.feed(ProbeCompleted{100, Outcome::timed_out, 250, {}});
     w.feed(SessionNote{1, 0, 100, NoteKind::delivered_share, 0.0});
     EXPECT_TRUE(w.sent(w.ask(1, 1)));
 }
@@ -713,10 +714,10 @@
     std::mt19937 dice(GetParam());
     auto roll = [&](int n) { return int(dice() % n); };
     Settings set = small_site();
-    set.probes = GetParam() % 3 != 1;
-    if (GetParam() % 2) set.budget = BudgetSettings{0.3, 5, 10000};
+    set.can_probe = GetParam() % 3 != 1;
+    if (GetParam() % 2) set.retry_budget = RetryBudgetSettings{0.3, 5, 10000};
     if (GetParam() % 3 == 0) set.classes[0].seats = 2;
-    if (GetParam() % 4 == 0) set.join_part = 0.2, set.classes[0].live = true;
+    if (GetParam() % 4 == 0) set.join_rate_factor = 0.2, set.classes[0].live = true;
     if (GetParam() % 5 == 0) set.report_fields.clear();
     Watch w(set, GetParam());
     w.list(GetParam() % 2 ? ListKind::saved : ListKind::full, fleet(6));
@@ -745,10 +746,10 @@
             w.feed(SessionNote{id, 0, w.sessions.at(id).server, NoteKind(roll(5) == 1 ? 0 : roll(5)),
                                roll(30) / 10.0});
         } else if (what == 16) {
-            w.feed(ProbeAnswered{ServerId(100 + roll(8)),
-                                 roll(4) ? Outcome::ended : Outcome::timed_out,
-                                 1,
-                                 {float(roll(30)), float(roll(20)) / 10, float(roll(20)) / 10}});
+            w.feed(ProbeCompleted{ServerId(100 + roll(8)),
+                                  roll(4) ? Outcome::ended : Outcome::timed_out,
+                                  1,
+                                  {float(roll(30)), float(roll(20)) / 10, float(roll(20)) / 10}});
         } else if (what == 17 && !out.empty()) {
             w.sessions.at(out[0]).answered = true;
             w.feed(SessionAbandoned{out[0]});
