--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,6 +1,6 @@
 // The decision module of ivyfield; its interface (settings, events, actions) is
-// include/ivyfield/director.hpp. The mechanism is the pure rate control of Almeroth et al., 5.1;
-// docs/design.md says what was added.
+// include/ivyfield/director.hpp. The mechanism is the pure rate control of Almeroth et al., "Long Term
+// Channel Allocation Strategies for Video Applications", section 5.1; docs/design.md lists the additions.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -18,946 +18,1034 @@
 
 namespace {
 
-// ---- Constants, each with its reason ----
-
-constexpr Time kNever = -1e18, kAlways = 1e18;
-// The design: grants go unpaced while a server is counted under this part of its streams and link.
-constexpr double kPacedFrom = 0.70;
-// The design: T int is at least this; T view where no hint has come.
-constexpr Time kLeastInterval = 10000, kUsualView = 45000;
-// The design: a session rises at most once in this time. Read as a bound on each session's rises.
-constexpr Time kRiseEvery = 30000;
-// Links and uplinks are filled up to here: true rates and reports stray, and 1% short costs many points.
-constexpr double kMark = 0.95;
-// On a link not heard of lately so much more is left: it may be used above the mean as well as below, and
-// what is short costs many times what is idle.
-constexpr double kUnsure = 0.2;
-// A new session starts above the rung that earns most for its rate only where that takes no more than this
-// part of the room left: worth grows ever slower with rate, so equal rungs earn most, and a later step down
-// costs more than a later step up wins.
-constexpr double kRoomPart = 0.2;
-// In a crowd others take of the same room before word of it comes: the part shrinks with the sessions that
-// come to a server in that time, by our own arrivals of late. Word is never newer than the first of these.
-constexpr Time kArrivals = 5000, kNewest = 1000;
-// Rungs move only when use is off the mark by more than the noise of one smoothed report.
-constexpr double kFallOver = 0.08, kRiseUnder = 0.2;
-// Without news, others may have risen on the same old word: only a link this far under the mark is used.
-constexpr double kRiseUnheard = 0.5;
-// One report moves the estimate of the others' load by this part: reports are noisy.
-constexpr double kGain = 0.4;
-// A report describes a server this long ago: half a usual refresh period and the way.
+// ---- Constants ----
+
+constexpr Time kFarPast = -1e18, kFarFuture = 1e18;  // before and after any time of the clock
+// From the design: streams are granted unpaced while a server's streams and link are used less than this.
+constexpr double kPacingUtilization = 0.70;
+// From the design: lower bound of the pacing interval (T int); viewing time (T view) without a length hint.
+constexpr Time kMinPacingInterval = 10000, kDefaultViewTime = 45000;
+// From the design, read as a limit for each session: it steps up at most once in this time.
+constexpr Time kMinStepUpInterval = 30000;
+// Links and uplinks are filled up to here: real rates and reports vary, and 1% short costs many points.
+constexpr double kTargetUtilization = 0.95;
+// Additional utilization left free on a link without a recent report: it may be used above the mean as well
+// as below, and missing rate costs many times what idle rate does.
+constexpr double kStaleMargin = 0.2;
+// A new session starts above the rung of the highest worth per rate only where that takes at most this share
+// of the headroom. Worth grows ever more slowly with rate, so equal rungs yield the most, and a later step
+// down costs more than a later step up gains.
+constexpr double kHeadroomShare = 0.2;
+// At high arrival rates other directors use the same headroom before a report shows it: that share shrinks
+// with the sessions expected at a server since its last report (at least kMinReportAge ago), estimated from
+// own arrivals averaged with the time constant kArrivalMemory.
+constexpr Time kArrivalMemory = 5000, kMinReportAge = 1000;
+// Rungs change only when utilization is off its target by more than the noise of one smoothed report.
+constexpr double kStepDownMargin = 0.08, kStepUpMargin = 0.2;
+// The margin without a new report: other directors may already have stepped up on the same old one.
+constexpr double kBlindStepUpMargin = 0.5;
+// Weight of one report in the estimate of the other directors' load: reports are noisy.
+constexpr double kLoadGain = 0.4;
+// A report describes the server this long ago: half a usual refresh period plus network delay.
 constexpr Time kReportLag = 400;
-// Others' load is believed this long after the last word, then fades towards the mean of the fleet.
-constexpr Time kFresh = 5000, kStale = 30000;
-// That mean forgets words at this rate; own load of the whole fleet, times the directors, counts as one word.
-constexpr Time kPoolMemory = 10000;
-// A set-up takes this long on a loaded server: a hold ends so long before the aim.
-constexpr Time kSetUp = 200;
-// An attempt that may be repeated gets this part of the time left to its aim, and this much at least.
-constexpr double kTryPart = 0.5;
-constexpr Time kLeastTry = 250;
-// An attempt unanswered for this long makes its server doubtful for paid sessions.
-constexpr Time kOverdue = 400;
-// After silence a server rests this long, doubling up to a limit so that its return is soon noticed.
-constexpr Time kRest = 500, kLongestRest = 8000;
-// Each strike weighs like this part of a link in the choice of a server.
-constexpr double kStrikeCost = 0.1;
-// After "full" a server rests this long: its link is asked for whole, and sessions end every few seconds.
-constexpr Time kFullRest = 1000;
-// Share of failed set-ups at which a server gets no paid session; weight of one outcome in that share.
-constexpr double kFailing = 0.15, kFailGain = 0.3;
-// A title is known to play once a server has played it; so many are remembered. Until then an error may be
-// the request's own fault (a title that no server knows): it is held against the server only when the session
-// plays elsewhere, and after so many the session is given up, since its attempts come out of everyone's
-// budget.
-constexpr std::size_t kTitles = 10000, kErrors = 2;
-// A success forgives less than a failure adds, and failures weigh double in the choice of a server: one that
-// fails fast is idle and would draw everything.
-constexpr double kFailEase = 0.1, kFailCost = 2;
-// Part of the bearable pace that all directors together send to a cold server: the rest is for chance.
-constexpr double kColdPart = 0.5;
-// Where servers can be probed, the one chosen is asked before the grant unless it was heard of so lately; at
-// most so many a session, since each is paid for. One that does not answer within this wait is passed over.
-constexpr Time kAskAge = 2000, kAskWait = 60;
-constexpr int kAsks = 2;
-// A server that seems to have room for rises is asked for word of it this often: a rise wins several seconds
-// of worth, a probe costs a part of one.
-constexpr Time kRiseAsk = 10000;
-// Tenants' requests are counted over this window; over share means so far above the quota.
-constexpr Time kShareWindow = 5000, kRemember = 60000;
-constexpr double kOverShare = 1.2;
-// A drop to make room must cost less than this part of what it wins: the change itself costs.
-constexpr double kSwapGain = 0.8;
-// All directors fall on the same word, and word of that comes late: the next fall waits for it, and so long.
-constexpr Time kSettle = 1000;
-// The list tells of a server's start some seconds late. A whole list that came so long after our own start
-// tells of every start before it.
-constexpr Time kTold = 2000;
-// Rungs are looked at this often where no news comes; they only rise then.
-constexpr Time kLook = 2000;
-// An alarm that comes so late tells that this director itself stood still.
-constexpr Time kLate = 100;
-// The module looks at holds and at news this often at most.
-constexpr Time kTick = 20;
-
-// ---- Account ----
-
-// What all things of one kind (links, say) are used on average. One director among many has no session or one
-// on most servers, which tells nothing of that server; over the whole fleet its sessions tell a little more,
-// and every word of any server counts.
-struct Pool {
+// Others' load is used as estimated until kFreshAge after a report, then fades to the fleet's mean.
+constexpr Time kFreshAge = 5000, kStaleAge = 30000;
+// Time constant of that mean. Own load of the whole fleet, times the directors, counts in it as one report.
+constexpr Time kFleetMemory = 10000;
+// Duration of a set-up on a loaded server: queueing ends this long before the startup deadline.
+constexpr Time kSetupTime = 200;
+// An attempt that may be repeated gets this share of the time to its startup deadline, and this at least.
+constexpr double kAttemptTimeShare = 0.5;
+constexpr Time kMinAttemptTime = 250;
+// A server with an attempt unanswered for this long gets no sessions that can't be repeated.
+constexpr Time kOverdueAnswer = 400;
+// Backoff of a server that did not answer; it doubles up to a limit, so that a recovery is noticed soon.
+constexpr Time kMinBackoff = 500, kMaxBackoff = 8000;
+// Each consecutive failure counts like this part of a link in the choice of a server.
+constexpr double kFailureCost = 0.1;
+// Backoff after "full": the whole link is in demand, and sessions on it end every few seconds.
+constexpr Time kFullBackoff = 1000;
+// Error rate from which a server gets no sessions that can't be repeated, and the weight of one error in it.
+constexpr double kMaxErrorRate = 0.15, kErrorRateGain = 0.3;
+// Titles that have played are remembered, at most so many. An error for any other may be caused by the
+// request (a title that no server knows): it counts against the server only if the session then plays
+// elsewhere. After kMaxErrors of them the session is given up, since its attempts use up the retry budget of
+// all sessions.
+constexpr std::size_t kMaxPlayedTitles = 10000, kMaxErrors = 2;
+// A success lowers the error rate by less than an error raises it, and the rate counts double in the choice
+// of a server: a server that fails fast is idle and would otherwise attract all sessions.
+constexpr double kErrorRateDecay = 0.1, kErrorRateCost = 2;
+// Part of its bearable set-up rate that all directors together send a cold server; the rest is for chance.
+constexpr double kColdPaceShare = 0.5;
+// Where servers can be probed, the chosen one is probed before the grant unless its last report is younger
+// than kMaxReportAge. A session causes at most kMaxProbes probes, since each has a price. A server that does
+// not answer within kProbeTimeout is skipped.
+constexpr Time kMaxReportAge = 2000, kProbeTimeout = 60;
+constexpr int kMaxProbes = 2;
+// A server that seems to have headroom for steps up is probed at most this often: a step up gains several
+// seconds of worth, a probe costs a part of one.
+constexpr Time kStepUpProbeInterval = 10000;
+// A tenant's requests are counted over kQuotaWindow; a viewer's classification is kept for kViewerMemory. A
+// request is over its tenant's share when the count exceeds the quota by the factor kOverShareFactor.
+constexpr Time kQuotaWindow = 5000, kViewerMemory = 60000;
+constexpr double kOverShareFactor = 1.2;
+// A step down to make room must cost less than this part of what it gains: the change of rung costs, too.
+constexpr double kMaxStepDownCost = 0.8;
+// All directors step down on the same report, and reports of the effect arrive late: the next step down waits
+// for Settings::note_delay and this much longer.
+constexpr Time kStepDownSettleTime = 1000;
+// The server list shows a server's start some seconds late. A full list that arrives this long after our own
+// start shows every start before it.
+constexpr Time kStartListDelay = 2000;
+// Rungs are checked this often where no new report arrives; sessions only step up then.
+constexpr Time kRungCheckInterval = 2000;
+// A timer that fires this late shows that this director itself was stalled.
+constexpr Time kStallDelay = 100;
+// Queued sessions and new reports are handled at most this often.
+constexpr Time kMinTimerDelay = 20;
+
+// ---- Load estimates ----
+
+// Mean utilization of all resources of one kind in the fleet, for example of all links. A director among many
+// has one session or none on most servers, which says nothing about such a server. Over the whole fleet its
+// sessions say a little more, and a report of any server counts.
+struct FleetLoad {
     int directors = 1;
-    double total = 0, own = 0, sum = 0, words = 0;
-    Time heard = 0;
-
-    double fade(Time now) const { return std::exp((heard - now) / kPoolMemory); }
-    double guess() const { return total > 0 ? own * directors / total : 0; }
-    // Words correct the guess; between them it moves as own load does, so that a surge shows at once.
-    void learn(Time now, double use) {
-        const double left = fade(now);
-        sum = sum * left + use - guess(), words = words * left + 1;
-        heard = now;
-    }
-    double use(Time now) const { return std::max(0.0, guess() + sum * fade(now) / (words * fade(now) + 1)); }
+    double capacity = 0, own_load = 0, correction = 0, weight = 0;
+    Time last_report = 0;
+
+    double decay(Time now) const { return std::exp((last_report - now) / kFleetMemory); }
+    double extrapolation() const { return capacity > 0 ? own_load * directors / capacity : 0; }
+    // Reports correct the extrapolation; between them it follows our own load, so that a surge shows at once.
+    void add_report(Time now, double utilization) {
+        const double remaining = decay(now);
+        correction = correction * remaining + utilization - extrapolation(), weight = weight * remaining + 1;
+        last_report = now;
+    }
+    double utilization(Time now) const {
+        return std::max(0.0, extrapolation() + correction * decay(now) / (weight * decay(now) + 1));
+    }
 };
 
-// Use of one shared thing (a server's streams, a link, an uplink): own part counted, the others' estimated.
-struct Account {
-    double total = 0, own = 0, others = 0;
-    Pool* pool = nullptr;
-    Time seen = kNever;
-    std::deque<std::pair<Time, double>> past;  // own use before each change, for late reports
-
-    void set_own(Time now, double value) {
-        if (value == own) return;
-        past.emplace_back(now, own);
-        while (past.front().first < now - 10000) past.pop_front();
-        if (pool) pool->own += value - own;
-        own = value;
-    }
-    double own_at(Time when) const {
-        for (const auto& [changed, before] : past)
-            if (changed > when) return before;
-        return own;
-    }
-    // A report says that `use` of the total was asked for `lag` ago. Words that come of short servers only
-    // (`biased`) tell nothing of the others.
-    void learn(Time now, double use, Time lag, double gain, bool biased = false) {
-        const double sample = use * total - own_at(now - lag);
-        others = now - seen > kFresh ? sample : others + gain * (sample - others);
-        seen = now;
-        if (pool && !biased) pool->learn(now, use);
-    }
-    double trust(Time now) const { return std::clamp((kStale - (now - seen)) / (kStale - kFresh), 0.0, 1.0); }
-    // Without word it is taken to be used as the mean.
-    double use(Time now) const {
-        if (total <= 0) return 0;
-        const double trust = this->trust(now);
-        const double guess = pool ? pool->use(now) * total * (1 - 1.0 / pool->directors) : 0;
-        return std::max(0.0, own + trust * others + (1 - trust) * guess) / total;
+// Load of one resource shared by all directors (a server's streams, its link, an uplink): our own part is
+// counted, the other directors' part estimated from reports.
+struct ResourceLoad {
+    double capacity = 0, own_load = 0, others_load = 0;
+    FleetLoad* fleet = nullptr;
+    Time last_report = kFarPast;
+    std::deque<std::pair<Time, double>> own_history;  // own load before each change, for reports of the past
+
+    void set_own_load(Time now, double value) {
+        if (value == own_load) return;
+        own_history.emplace_back(now, own_load);
+        while (own_history.front().first < now - 10000) own_history.pop_front();
+        if (fleet) fleet->own_load += value - own_load;
+        own_load = value;
+    }
+    double own_load_at(Time when) const {
+        for (const auto& [changed_at, load_before] : own_history)
+            if (changed_at > when) return load_before;
+        return own_load;
+    }
+    // Adds a report that this fraction of the capacity was requested `lag` ago. Reports that only overloaded
+    // servers send (`biased`) say nothing about the rest of the fleet.
+    void add_report(Time now, double utilization, Time lag, double gain, bool biased = false) {
+        const double sample = utilization * capacity - own_load_at(now - lag);
+        others_load = now - last_report > kFreshAge ? sample : others_load + gain * (sample - others_load);
+        last_report = now;
+        if (fleet && !biased) fleet->add_report(now, utilization);
+    }
+    // Weight of the estimate of the others' load: 1 soon after a recent report, 0 without one.
+    double freshness(Time now) const {
+        return std::clamp((kStaleAge - (now - last_report)) / (kStaleAge - kFreshAge), 0.0, 1.0);
+    }
+    // Without a recent report the mean of the fleet is assumed.
+    double utilization(Time now) const {
+        if (capacity <= 0) return 0;
+        const double freshness = this->freshness(now);
+        const double estimate = fleet ? fleet->utilization(now) * capacity * (1 - 1.0 / fleet->directors) : 0;
+        return std::max(0.0, own_load + freshness * others_load + (1 - freshness) * estimate) / capacity;
     }
 };
 
 struct Server {
     ServerEntry entry;
     bool listed = true;
-    Account streams, link;
-    std::set<SessionId> sessions;  // set-ups and plays of ours
-    // How many of them are alike in what they take: class, rung and, where viewers share a stream, title.
-    std::map<std::tuple<TitleId, int, int>, int> alike;
-    // The clock.
-    Time interval_end = kNever, last_grant = kNever;
-    double granted = 0;
+    ResourceLoad streams, link;
+    std::set<SessionId> sessions;  // own sessions, pending or established
+    // Number of them by title (0 where viewers do not share streams), class and rung.
+    std::map<std::tuple<TitleId, int, int>, int> session_counts;
+    // Pacing.
+    Time interval_end = kFarPast, last_grant = kFarPast;
+    double granted_streams = 0;
     // Health.
-    int strikes = 0;
-    double failing = 0;
-    Time rest_until = kNever, full_until = kNever, last_ok = kNever;
-    Time cold_since = kNever, next_cold = kNever;
-    bool broke = false;
-    bool doubted = false;  // paced as cold for no other reason than that the list was a saved one
+    int failures = 0;  // consecutive: no answer, or the connection broke
+    double error_rate = 0;
+    Time backoff_until = kFarPast, full_until = kFarPast, last_answer = kFarPast;
+    Time cold_since = kFarPast, next_cold_setup = kFarPast;
+    bool connection_broke = false;
+    bool from_saved_list = false;  // treated as cold only because a saved list named it
     // Reports.
-    Time asked = kNever;                  // a probe is out since then
-    Time looked = kNever, fell = kNever;  // when rungs were last looked at, and last fell
-    bool news = false;
+    Time probed_at = kFarPast;  // when the pending probe was sent; kFarPast: none is pending
+    Time last_rung_check = kFarPast, last_step_down = kFarPast;
+    bool new_report = false;
 };
 
 struct Session {
     SessionRequest request;
-    enum class State { held, out, playing } state = State::held;
-    bool answered = false;      // nothing is owed any more
-    bool may_have_run = false;  // some attempt was not proved never to have run
-    ServerId server = 0, asking = 0;
-    std::set<ServerId> tried;
-    std::vector<ServerId> errors;  // servers that answered it with an error and were not blamed yet
-    int rung = 0, told = 0, attempts = 0, asks = 0;  // told: the rung that the server has been told
+    enum class State { queued, pending, established } state = State::queued;
+    bool abandoned = false;     // withdrawn while an attempt was pending: no answer is owed
+    bool may_have_run = false;  // some attempt is not known never to have run
+    ServerId server = 0, probed_server = 0;
+    std::set<ServerId> tried_servers;
+    std::vector<ServerId> error_servers;  // whose error for it does not count against them yet
+    int rung = 0, sent_rung = 0, attempts = 0, probes = 0;  // sent_rung: the rung last sent to the server
     double worth = 1;
-    Time taken = 0, sent = 0, risen = kNever;
+    Time received_at = 0, sent_at = 0, last_step_up = kFarPast;
 };
 
 }  // namespace
 
 class Director::Rules {
   public:
-    Rules(const Settings& settings, std::uint64_t seed) : set_(settings), random_(seed) {
-        set_.directors = std::max(1, set_.directors);
-        stream_pool_.directors = link_pool_.directors = uplink_pool_.directors = set_.directors;
+    Rules(const Settings& settings, std::uint64_t seed) : cfg_(settings), random_(seed) {
+        cfg_.directors = std::max(1, cfg_.directors);
+        fleet_streams_.directors = fleet_links_.directors = fleet_uplinks_.directors = cfg_.directors;
     }
 
     void handle(Time now, const Event& event, std::vector<Action>& actions) {
         now_ = now;
-        out_ = &actions;
-        if (now > next_alarm_ + kLate) stalled_ = now;
-        if (born_ == kNever) {
-            born_ = now;
-            if (set_.list_on_request) act(SubscribeServerList{true}), asked_ = now, wake(now);
+        actions_ = &actions;
+        if (now > next_timer_ + kStallDelay) stalled_at_ = now;
+        if (started_at_ == kFarPast) {
+            started_at_ = now;
+            if (cfg_.list_on_request) emit(SubscribeServerList{true}), list_fetched_at_ = now, set_timer(now);
         }
-        std::visit([this](const auto& e) { on(e); }, event);
+        std::visit([this](const auto& e) { handle_event(e); }, event);
     }
 
   private:
     template <typename A>
-    void act(A action) {
-        out_->emplace_back(std::in_place_type<A>, std::move(action));
+    void emit(A action) {
+        actions_->emplace_back(std::in_place_type<A>, std::move(action));
     }
 
-    // Alarms cannot be unset: one is set only where none comes sooner. Idle directors sleep, large fleets
-    // would spend their time on alarms otherwise.
-    void wake(Time at) {
-        at = std::max(at, now_ + kTick);
-        if (at >= next_alarm_) return;
-        next_alarm_ = at;
-        act(SetTimer{0, at});
+    // Timers cannot be cancelled, so one is set only where none expires sooner. Idle directors set none:
+    // large fleets would otherwise spend their time on timers.
+    void set_timer(Time at) {
+        at = std::max(at, now_ + kMinTimerDelay);
+        if (at >= next_timer_) return;
+        next_timer_ = at;
+        emit(SetTimer{0, at});
     }
 
-    const ClassSettings& cls(const Session& s) const { return set_.classes[s.request.cls]; }
-    bool shares(const Session& s) const { return cls(s).live && set_.join_rate_factor < 1; }
-    // What a session takes of its rate. A live stream that all directors send to one server is shared with
-    // theirs.
-    double first_part(const Session& s) const {
-        return shares(s) ? set_.join_rate_factor + (1 - set_.join_rate_factor) / set_.directors : 1;
+    const ClassSettings& class_of(const Session& s) const { return cfg_.classes[s.request.cls]; }
+    bool shares_stream(const Session& s) const { return class_of(s).live && cfg_.join_rate_factor < 1; }
+    // Part of its rate that the first own viewer of a stream adds at a server. All directors send the viewers
+    // of a live title to one server, so its stream is shared with theirs.
+    double first_share(const Session& s) const {
+        return shares_stream(s) ? cfg_.join_rate_factor + (1 - cfg_.join_rate_factor) / cfg_.directors : 1;
     }
-    double rate(const Session& s, int rung) const { return set_.rung_kb[rung] * cls(s).rate_factor; }
-    int top(const Session& s) const {
-        return std::max(cls(s).min_rung, std::min(cls(s).max_rung, s.request.top_rung));
+    double rate(const Session& s, int rung) const { return cfg_.rung_kb[rung] * class_of(s).rate_factor; }
+    int max_rung(const Session& s) const {
+        return std::max(class_of(s).min_rung, std::min(class_of(s).max_rung, s.request.top_rung));
     }
-    Time aim(const Session& s) const { return std::min(s.taken + cls(s).startup_target, s.request.deadline); }
-    int rack(const Server& v) const { return set_.racks > 0 ? v.entry.position % set_.racks : 0; }
+    Time startup_deadline(const Session& s) const {
+        return std::min(s.received_at + class_of(s).startup_target, s.request.deadline);
+    }
+    int rack_of(const Server& s) const { return cfg_.racks > 0 ? s.entry.position % cfg_.racks : 0; }
 
-    Server* server(ServerId id) {
+    Server* find_server(ServerId id) {
         const auto it = servers_.find(id);
         return it == servers_.end() ? nullptr : &it->second;
     }
 
-    double use(const Server& v) { return std::max(v.link.use(now_), uplinks_[rack(v)].use(now_)); }
+    double utilization(const Server& s) {
+        return std::max(s.link.utilization(now_), uplinks_[rack_of(s)].utilization(now_));
+    }
 
-    // A session at the server is counted (by 1) or not any more (-1); recount() follows. In between neither
-    // its rung nor its place may change.
-    void count(Server& v, const Session& s, int by) {
-        const auto it =
-            v.alike.try_emplace({shares(s) ? s.request.title : 0, s.request.cls, s.rung}, 0).first;
-        it->second += by;
-        if (it->second == 0) v.alike.erase(it);
+    // Adds a session of the server to the counts (1) or removes it (-1); the caller then calls
+    // update_own_load(). While a session is counted, its rung and its server must not change.
+    void count_session(Server& server, const Session& s, int delta) {
+        const auto it = server.session_counts
+                            .try_emplace({shares_stream(s) ? s.request.title : 0, s.request.cls, s.rung}, 0)
+                            .first;
+        it->second += delta;
+        if (it->second == 0) server.session_counts.erase(it);
     }
 #ifdef IVYFIELD_CHECKS
-    // In the tests: the sums are those of a walk over the sessions.
-    void check_count(const Server& v, double kb, double streams) const {
+    // For tests: compares the sums with those over single sessions.
+    void check_own_load(const Server& server, double kb, double streams) const {
         std::set<std::tuple<TitleId, int, int>> shared;
-        for (const SessionId id : v.sessions) {
+        for (const SessionId id : server.sessions) {
             const Session& s = sessions_.at(id);
-            const bool further = shares(s) && !shared.insert({s.request.title, s.request.cls, s.rung}).second;
-            kb -= rate(s, s.rung) * (further ? set_.join_rate_factor : first_part(s));
-            streams -= further ? 0 : 1;
+            const bool is_further =
+                shares_stream(s) && !shared.insert({s.request.title, s.request.cls, s.rung}).second;
+            kb -= rate(s, s.rung) * (is_further ? cfg_.join_rate_factor : first_share(s));
+            streams -= is_further ? 0 : 1;
         }
         if (std::abs(kb) > 1e-6 || std::abs(streams) > 1e-6)
-            throw std::logic_error("a server's count of sessions is off by " + std::to_string(kb) +
-                                   " kB a second and " + std::to_string(streams) + " streams");
+            throw std::logic_error("load of own sessions at a server differs from the sum over them by " +
+                                   std::to_string(kb) + " kB/s and " + std::to_string(streams) + " streams");
     }
 #endif
-    // Own streams and rates of a server. Viewers of one live title, class and rung share a stream. Summed
-    // over kinds of sessions, not over sessions: it is done at each change.
-    void recount(Server& v) {
+    // Updates own load of a server and of its uplink. Viewers of one live title, class and rung share a
+    // stream. It sums over kinds of sessions, not over sessions, since it runs at each change.
+    void update_own_load(Server& server) {
         double kb = 0, streams = 0;
-        for (const auto& [kind, n] : v.alike) {
-            const auto& [title, c, rung] = kind;
-            const bool joins = set_.classes[c].live && set_.join_rate_factor < 1;
+        for (const auto& [kind, count] : server.session_counts) {
+            const auto& [title, cls, rung] = kind;
+            const bool shared = cfg_.classes[cls].live && cfg_.join_rate_factor < 1;
             const double first =
-                joins ? set_.join_rate_factor + (1 - set_.join_rate_factor) / set_.directors : 1;
-            kb += set_.rung_kb[rung] * set_.classes[c].rate_factor *
-                  (joins ? first + (n - 1) * set_.join_rate_factor : n);
-            streams += joins ? 1 : n;
+                shared ? cfg_.join_rate_factor + (1 - cfg_.join_rate_factor) / cfg_.directors : 1;
+            kb += cfg_.rung_kb[rung] * cfg_.classes[cls].rate_factor *
+                  (shared ? first + (count - 1) * cfg_.join_rate_factor : count);
+            streams += shared ? 1 : count;
         }
 #ifdef IVYFIELD_CHECKS
-        check_count(v, kb, streams);
+        check_own_load(server, kb, streams);
 #endif
-        Account& up = uplinks_[rack(v)];
-        up.set_own(now_, up.own + kb - v.link.own);
-        v.link.set_own(now_, kb);
-        v.streams.set_own(now_, streams);
-        if (v.sessions.empty()) mine_.erase(v.entry.id);
-        else mine_.insert(v.entry.id), wake(now_ + kLook);
+        ResourceLoad& uplink = uplinks_[rack_of(server)];
+        uplink.set_own_load(now_, uplink.own_load + kb - server.link.own_load);
+        server.link.set_own_load(now_, kb);
+        server.streams.set_own_load(now_, streams);
+        if (server.sessions.empty()) servers_in_use_.erase(server.entry.id);
+        else servers_in_use_.insert(server.entry.id), set_timer(now_ + kRungCheckInterval);
     }
 
-    // Sessions handed over played before we knew of them: reports from then hold them too.
-    void forget_past(Server& v) {
-        for (Account* a : {&v.streams, &v.link, &uplinks_[rack(v)]}) a->past.clear();
+    // An adopted session played before it was known here, so earlier reports already include it.
+    void clear_own_history(Server& s) {
+        for (ResourceLoad* load : {&s.streams, &s.link, &uplinks_[rack_of(s)]}) load->own_history.clear();
     }
 
-    void learn(Server& v, const LoadReport& report) {
-        for (std::size_t k = 0; k < report.size() && k < set_.report_fields.size(); ++k) {
+    void add_report(Server& server, const LoadReport& report) {
+        for (std::size_t k = 0; k < report.size() && k < cfg_.report_fields.size(); ++k) {
             const double value = report[k];
             if (!std::isfinite(value) || value < 0) continue;
-            switch (set_.report_fields[k]) {
+            switch (cfg_.report_fields[k]) {
                 case ReportField::streams:
-                    if (v.streams.total > 0)
-                        v.streams.learn(now_, value / v.streams.total, kReportLag, kGain);
+                    if (server.streams.capacity > 0)
+                        server.streams.add_report(now_, value / server.streams.capacity, kReportLag,
+                                                  kLoadGain);
                     break;
                 case ReportField::link:
                 case ReportField::link_capped:
-                    v.link.learn(now_, value, kReportLag, kGain);
+                    server.link.add_report(now_, value, kReportLag, kLoadGain);
                     break;
                 case ReportField::uplink:
-                    uplinks_[rack(v)].learn(now_, value, kReportLag, kGain / 2);
+                    uplinks_[rack_of(server)].add_report(now_, value, kReportLag, kLoadGain / 2);
                     break;
                 default:
                     continue;
             }
-            v.news = true;
-            wake(now_);
+            server.new_report = true;
+            set_timer(now_);
         }
     }
 
-    // A delivered share below 1 is a link smaller than thought: what is asked of it is 1 over that share.
-    void on(const SessionNote& e) {
-        Server* v = server(e.server);
-        const auto it = sessions_.find(e.id);
-        if (e.kind == NoteKind::rung && it != sessions_.end() && v) {
-            const bool here = v->sessions.count(e.id) != 0;
-            if (here) count(*v, it->second, -1);
-            it->second.rung = std::clamp(static_cast<int>(e.value), 0, int(set_.rung_kb.size()) - 1);
-            it->second.told = it->second.rung;
-            if (here) count(*v, it->second, 1);
-            recount(*v);
-            return forget_past(*v);
+    // A delivered share below 1 shows a link smaller than assumed: its requested utilization is 1 / share.
+    void handle_event(const SessionNote& event) {
+        Server* server = find_server(event.server);
+        const auto it = sessions_.find(event.id);
+        if (event.kind == NoteKind::rung && it != sessions_.end() && server) {
+            const bool is_counted = server->sessions.count(event.id) != 0;
+            if (is_counted) count_session(*server, it->second, -1);
+            it->second.rung = std::clamp(static_cast<int>(event.value), 0, int(cfg_.rung_kb.size()) - 1);
+            it->second.sent_rung = it->second.rung;
+            if (is_counted) count_session(*server, it->second, 1);
+            update_own_load(*server);
+            return clear_own_history(*server);
         }
-        if (!v || !(e.value >= 0)) return;
-        Account& up = uplinks_[rack(*v)];
-        if (e.kind == NoteKind::delivered_share && e.value < 0.98) {
-            const double asked = 1 / std::max(e.value, 0.2);
-            if (up.use(now_) < asked) v->link.learn(now_, asked, set_.note_delay, 1, true);
-        } else if (e.kind == NoteKind::link) {
-            v->link.learn(now_, e.value, set_.note_delay, kGain);
-        } else if (e.kind == NoteKind::uplink) {
-            up.learn(now_, e.value, set_.note_delay, kGain);
+        if (!server || !(event.value >= 0)) return;
+        ResourceLoad& uplink = uplinks_[rack_of(*server)];
+        if (event.kind == NoteKind::delivered_share && event.value < 0.98) {
+            const double requested = 1 / std::max(event.value, 0.2);
+            if (uplink.utilization(now_) < requested)
+                server->link.add_report(now_, requested, cfg_.note_delay, 1, true);
+        } else if (event.kind == NoteKind::link) {
+            server->link.add_report(now_, event.value, cfg_.note_delay, kLoadGain);
+        } else if (event.kind == NoteKind::uplink) {
+            uplink.add_report(now_, event.value, cfg_.note_delay, kLoadGain);
         }
-        v->news = true;
-        wake(now_);
-    }
-
-    void on(const ProbeCompleted& e) {
-        Server* v = server(e.server);
-        if (!v) return;
-        const bool awaited = v->asked != kNever;
-        v->asked = kNever;
-        if (e.outcome == Outcome::ended) learn(*v, e.report);
-        else if (awaited && e.outcome != Outcome::full) strike(*v, false);
-        const std::set<SessionId> held = held_;
-        for (const SessionId id : held)
-            if (held_.count(id) && sessions_.at(id).asking == e.server) place(id);
-    }
-
-    // Asks the server chosen before a grant rests on old word. True: its answer is awaited. A director among
-    // many has no other way to know a server: it sends a session every few seconds and hears of its own
-    // servers only.
-    bool ask(Server& v, Session& s) {
-        if (!set_.can_probe || set_.report_fields.empty()) return false;
-        if (s.asks >= kAsks || now_ - v.link.seen < kAskAge) return false;
-        if (v.asked == kNever) {
-            s.asks += 1;
-            v.asked = now_;
-            act(Probe{v.entry.id});
+        server->new_report = true;
+        set_timer(now_);
+    }
+
+    void handle_event(const ProbeCompleted& event) {
+        Server* server = find_server(event.server);
+        if (!server) return;
+        const bool was_pending = server->probed_at != kFarPast;
+        server->probed_at = kFarPast;
+        if (event.outcome == Outcome::ended) add_report(*server, event.report);
+        else if (was_pending && event.outcome != Outcome::full) record_failure(*server, false);
+        const std::set<SessionId> queued = queued_;
+        for (const SessionId id : queued)
+            if (queued_.count(id) && sessions_.at(id).probed_server == event.server) place(id);
+    }
+
+    // Probes the chosen server when its last report is too old for a grant. True: the session waits for the
+    // answer. A director among many has no other way to know a server's load: it sends a session every few
+    // seconds and gets reports of its own servers only.
+    bool request_probe(Server& server, Session& session) {
+        if (!cfg_.can_probe || cfg_.report_fields.empty()) return false;
+        if (session.probes >= kMaxProbes || now_ - server.link.last_report < kMaxReportAge) return false;
+        if (server.probed_at == kFarPast) {
+            session.probes += 1;
+            server.probed_at = now_;
+            emit(Probe{server.entry.id});
         }
-        s.asking = v.entry.id;
+        session.probed_server = server.entry.id;
         return true;
     }
-    bool awaits_word(const Session& s) {
-        const Server* v = server(s.asking);
-        return v && v->asked != kNever && now_ - v->asked <= kAskWait;
-    }
-
-    // ---- Clock ----
-
-    Time view() const { return hints_ > 0 ? hint_sum_ / hints_ : kUsualView; }
-
-    // When the server's clock grants the next stream; kNever: at once.
-    Time opens(Server& v) {
-        if (v.streams.total <= 0) return kNever;
-        if (v.streams.use(now_) < kPacedFrom && use(v) < kPacedFrom) return kNever;
-        const Time interval = std::max(kLeastInterval, view() / v.streams.total);
-        if (now_ >= v.interval_end) v.interval_end = now_ + interval, v.granted = 0;
-        const double most = std::max(1.0, std::floor(interval * v.streams.total / view()));
-        if (v.granted >= most) return v.interval_end;
-        return v.last_grant + (v.interval_end - now_) / (most - v.granted);
-    }
-
-    // A cold server takes set-ups at a slowly rising pace; ours is our part of it among all directors. The
-    // first send waits for a part of the gap drawn by chance: a hundred directors that hear of a fresh, idle
-    // server at once would each send it one at once.
-    Time cold_opens(Server& v) {
-        if (set_.overload_multiple <= 0 || now_ >= v.cold_since + set_.warmup_time) return kNever;
-        if (v.next_cold == kNever) spend_cold(v, std::uniform_real_distribution<double>(0, 1)(random_));
-        return v.next_cold;
-    }
-    void chill(Server& v, Time since) {
-        if (now_ >= v.cold_since + set_.warmup_time) v.next_cold = kNever;  // else the pace goes on
-        v.cold_since = since;
-        v.doubted = false;
-    }
-    void spend_cold(Server& v, double part) {
-        const double age = std::clamp((now_ - v.cold_since) / std::max(1.0, set_.warmup_time), 0.0, 1.0);
-        const double warmth = set_.initial_warmth + (1 - set_.initial_warmth) * age * age;
-        const double pace = std::max(1.0, v.streams.total) / std::max(1.0, set_.warmup_time) * warmth *
-                            set_.overload_multiple * kColdPart / set_.directors;
-        v.next_cold = now_ + part / pace;
-    }
-
-    // ---- Holds and the choice of a server ----
-
-    bool holds_title(const Server& v, const SessionRequest& q) const {
-        if (set_.cells <= 0) return true;
-        const int from = ((v.entry.position - q.first_cell) % set_.cells + set_.cells) % set_.cells;
-        return from < q.cell_count;
-    }
-
-    // Paid sessions go only where set-ups are answered; the others also test doubtful servers.
-    bool fit(const Server& v, const Session& s, bool strict) const {
-        if (!v.listed || v.entry.state != ServerState::ready || !holds_title(v, s.request)) return false;
-        if (now_ < v.rest_until || now_ < v.full_until) return false;
-        if (strict && v.asked != kNever && now_ - v.asked > kAskWait && now_ != stalled_) return false;
-        if (s.tried.count(v.entry.id) && strict) return false;
-        if (cls(s).idempotency == Idempotency::idempotent || !strict) return true;
-        if (v.strikes > 0 || v.failing >= kFailing) return false;
-        for (const SessionId id : v.sessions) {
-            const Session& o = sessions_.at(id);
-            if (o.state == Session::State::out && now_ - o.sent > kOverdue && now_ != stalled_) return false;
+    bool is_probe_pending(const Session& session) {
+        const Server* server = find_server(session.probed_server);
+        return server && server->probed_at != kFarPast && now_ - server->probed_at <= kProbeTimeout;
+    }
+
+    // ---- Pacing ----
+
+    // Mean viewing time (T view), from the length hints of requests.
+    Time view_time() const { return hint_count_ > 0 ? hint_sum_ / hint_count_ : kDefaultViewTime; }
+
+    // Earliest time at which the pacing grants the next stream at the server; kFarPast: unpaced.
+    Time next_grant_time(Server& server) {
+        if (server.streams.capacity <= 0) return kFarPast;
+        if (server.streams.utilization(now_) < kPacingUtilization && utilization(server) < kPacingUtilization)
+            return kFarPast;
+        const Time interval = std::max(kMinPacingInterval, view_time() / server.streams.capacity);
+        if (now_ >= server.interval_end) server.interval_end = now_ + interval, server.granted_streams = 0;
+        const double max_grants = std::max(1.0, std::floor(interval * server.streams.capacity / view_time()));
+        if (server.granted_streams >= max_grants) return server.interval_end;
+        return server.last_grant + (server.interval_end - now_) / (max_grants - server.granted_streams);
+    }
+
+    // Earliest time of the next set-up at a cold server; kFarPast: unpaced. A cold server takes set-ups at a
+    // slowly rising rate, divided among all directors. The first one waits a random part of the interval:
+    // else a hundred directors that learn of a new, idle server together would each send it one at once.
+    Time next_cold_setup(Server& server) {
+        if (cfg_.overload_multiple <= 0 || now_ >= server.cold_since + cfg_.warmup_time) return kFarPast;
+        if (server.next_cold_setup == kFarPast)
+            delay_cold_setup(server, std::uniform_real_distribution<double>(0, 1)(random_));
+        return server.next_cold_setup;
+    }
+    // Treats the server as started at `since`.
+    void mark_cold(Server& server, Time since) {
+        if (now_ >= server.cold_since + cfg_.warmup_time)
+            server.next_cold_setup = kFarPast;  // else its pace continues
+        server.cold_since = since;
+        server.from_saved_list = false;
+    }
+    // Delays the next set-up at a cold server by this many of the intervals of its current pace.
+    void delay_cold_setup(Server& server, double intervals) {
+        const double age = std::clamp((now_ - server.cold_since) / std::max(1.0, cfg_.warmup_time), 0.0, 1.0);
+        const double warmth = cfg_.initial_warmth + (1 - cfg_.initial_warmth) * age * age;
+        const double pace = std::max(1.0, server.streams.capacity) / std::max(1.0, cfg_.warmup_time) *
+                            warmth * cfg_.overload_multiple * kColdPaceShare / cfg_.directors;
+        server.next_cold_setup = now_ + intervals / pace;
+    }
+
+    // ---- Queueing and the choice of a server ----
+
+    bool holds_title(const Server& server, const SessionRequest& request) const {
+        if (cfg_.cells <= 0) return true;
+        const int offset =
+            ((server.entry.position - request.first_cell) % cfg_.cells + cfg_.cells) % cfg_.cells;
+        return offset < request.cell_count;
+    }
+
+    // Whether the session may be sent to the server. Sessions that can't be repeated go only where set-ups
+    // are answered; the others also try suspect servers. Without `strict` only hard conditions apply.
+    bool is_eligible(const Server& server, const Session& session, bool strict) const {
+        if (!server.listed || server.entry.state != ServerState::ready ||
+            !holds_title(server, session.request))
+            return false;
+        if (now_ < server.backoff_until || now_ < server.full_until) return false;
+        if (strict && server.probed_at != kFarPast && now_ - server.probed_at > kProbeTimeout &&
+            now_ != stalled_at_)
+            return false;
+        if (session.tried_servers.count(server.entry.id) && strict) return false;
+        if (class_of(session).idempotency == Idempotency::idempotent || !strict) return true;
+        if (server.failures > 0 || server.error_rate >= kMaxErrorRate) return false;
+        for (const SessionId id : server.sessions) {
+            const Session& other = sessions_.at(id);
+            if (other.state == Session::State::pending && now_ - other.sent_at > kOverdueAnswer &&
+                now_ != stalled_at_)
+                return false;
         }
         return true;
     }
 
-    bool seat_free(const Session& s) const {
-        if (cls(s).seats <= 0) return true;
-        const auto it = seats_.find({s.request.title, s.request.cls});
-        return it == seats_.end() || it->second < cls(s).seats;
+    bool has_free_seat(const Session& s) const {
+        if (class_of(s).seats <= 0) return true;
+        const auto it = seats_taken_.find({s.request.title, s.request.cls});
+        return it == seats_taken_.end() || it->second < class_of(s).seats;
     }
 
-    // Kilobytes a second that the server's link and its rack's uplink still have under the mark.
-    double link_room(const Server& v) const {
-        return (kMark - kUnsure * (1 - v.link.trust(now_)) - v.link.use(now_)) * v.link.total;
+    // Rate in kB/s that the server's link can take until it reaches the target utilization.
+    double link_headroom(const Server& s) const {
+        return (kTargetUtilization - kStaleMargin * (1 - s.link.freshness(now_)) - s.link.utilization(now_)) *
+               s.link.capacity;
     }
-    double room(Server& v) {
-        Account& up = uplinks_[rack(v)];
-        const double link = link_room(v);
-        return up.total > 0 ? std::min(link, (kMark - up.use(now_)) * up.total) : link;
+    // The same for the server's link and its rack's uplink together.
+    double headroom(Server& s) {
+        ResourceLoad& uplink = uplinks_[rack_of(s)];
+        const double link_room = link_headroom(s);
+        return uplink.capacity > 0
+                   ? std::min(link_room, (kTargetUtilization - uplink.utilization(now_)) * uplink.capacity)
+                   : link_room;
     }
 
-    // A number from 0 to 1 that all directors draw alike for a title and a server.
-    static double meeting(TitleId title, ServerId server) {
-        std::uint64_t x = title * 0x9e3779b97f4a7c15u ^ server;
-        for (const int shift : {30, 27, 31}) x = (x ^ (x >> shift)) * 0xbf58476d1ce4e5b9u;
-        return static_cast<double>(x >> 11) / 9007199254740992.0;
+    // Rendezvous hash of a title and a server, from 0 to 1: the same at all directors.
+    static double rendezvous_hash(TitleId title, ServerId server) {
+        std::uint64_t hash = title * 0x9e3779b97f4a7c15u ^ server;
+        for (const int shift : {30, 27, 31}) hash = (hash ^ (hash >> shift)) * 0xbf58476d1ce4e5b9u;
+        return static_cast<double>(hash >> 11) / 9007199254740992.0;
     }
-    double value(Server& v, const Session& s) {
-        double value = 1 - std::max(use(v), v.streams.use(now_));
-        // Directors that cannot speak to each other meet at one server for a live title, and at the next when
-        // that is full: viewers of one stream add a part of its rate only.
-        if (shares(s) && room(v) > rate(s, top(s)) * first_part(s))
-            value = 1 + meeting(s.request.title, v.entry.id);
-        if (v.entry.zone != set_.zone) value -= set_.cross_zone_price * 5;
-        // A doubtful server that has rested is tested by one session that may be sent again.
-        if (v.strikes > 0 && cls(s).idempotency == Idempotency::idempotent && s.attempts == 0) return 2;
-        value -= kFailCost * v.failing + kStrikeCost * v.strikes + (s.tried.count(v.entry.id) ? 1 : 0);
-        return value + std::uniform_real_distribution<double>(0, 0.02)(random_);
+    double score_server(Server& server, const Session& session) {
+        double score = 1 - std::max(utilization(server), server.streams.utilization(now_));
+        // Directors do not communicate. By the hash they all choose the same server for a live title, and the
+        // same next one when that is full, since further viewers of a stream add only a part of its rate.
+        if (shares_stream(session) &&
+            headroom(server) > rate(session, max_rung(session)) * first_share(session))
+            score = 1 + rendezvous_hash(session.request.title, server.entry.id);
+        if (server.entry.zone != cfg_.zone) score -= cfg_.cross_zone_price * 5;
+        // A suspect server whose backoff is over is tried with one session that may be sent again.
+        if (server.failures > 0 && class_of(session).idempotency == Idempotency::idempotent &&
+            session.attempts == 0)
+            return 2;
+        score -= kErrorRateCost * server.error_rate + kFailureCost * server.failures +
+                 (session.tried_servers.count(server.entry.id) ? 1 : 0);
+        return score + std::uniform_real_distribution<double>(0, 0.02)(random_);
     }
 
-    // Decides on a session that is owed an answer and has no attempt out.
+    // Sends, queues or gives up a session that is owed an answer and has no attempt pending.
     void place(SessionId id) {
-        Session& s = sessions_.at(id);
-        if (s.attempts >= std::max(1, set_.max_attempts) || now_ >= s.request.deadline - 1 ||
-            (s.attempts > 0 && !may_repeat(s)) || !seat_free(s))
-            return give_up(id);
-        if (awaits_word(s)) return hold(id, now_);
+        Session& session = sessions_.at(id);
+        if (session.attempts >= std::max(1, cfg_.max_attempts) || now_ >= session.request.deadline - 1 ||
+            (session.attempts > 0 && !may_retry(session)) || !has_free_seat(session))
+            return reject_or_fail(id);
+        if (is_probe_pending(session)) return enqueue(id, now_);
         for (const bool strict : {true, false}) {
-            Server *best = nullptr, *roomiest = nullptr, *joined = nullptr;
-            double best_value = 0, most_room = 0;
+            Server *best = nullptr, *unpaced = nullptr, *join_server = nullptr;
+            double best_score = 0, unpaced_score = 0;
             int join_rung = -1;
-            Time soonest = kAlways;
-            for (auto& [sid, v] : servers_) {
-                if (!fit(v, s, strict)) continue;
-                const Time cold = cold_opens(v);
-                if (const int rung = joinable(v, s); rung > join_rung && cold <= now_)
-                    joined = &v, join_rung = rung;
-                if (v.streams.total > 0 && v.streams.use(now_) >= 1) continue;
-                const Time open = std::max(opens(v), cold);
-                soonest = std::min(soonest, open);
-                const double val = value(v, s);
-                if (cold <= now_ && (!roomiest || val > most_room)) roomiest = &v, most_room = val;
-                if (open <= now_ && (!best || val > best_value)) best = &v, best_value = val;
+            Time soonest = kFarFuture;
+            for (auto& [server_id, server] : servers_) {
+                if (!is_eligible(server, session, strict)) continue;
+                const Time cold_from = next_cold_setup(server);
+                if (const int rung = joinable_rung(server, session); rung > join_rung && cold_from <= now_)
+                    join_server = &server, join_rung = rung;
+                if (server.streams.capacity > 0 && server.streams.utilization(now_) >= 1) continue;
+                const Time opening = std::max(next_grant_time(server), cold_from);
+                soonest = std::min(soonest, opening);
+                const double score = score_server(server, session);
+                if (cold_from <= now_ && (!unpaced || score > unpaced_score))
+                    unpaced = &server, unpaced_score = score;
+                if (opening <= now_ && (!best || score > best_score)) best = &server, best_score = score;
             }
-            if (joined) return send(id, *joined, join_rung, false);
-            const Time last = aim(s) - kSetUp;
-            if (!best && now_ >= last) best = roomiest;
-            if (best && now_ < last && ask(*best, s)) return hold(id, now_);
+            if (join_server) return send_setup(id, *join_server, join_rung, false);
+            const Time latest_start = startup_deadline(session) - kSetupTime;
+            if (!best && now_ >= latest_start) best = unpaced;
+            if (best && now_ < latest_start && request_probe(*best, session)) return enqueue(id, now_);
             if (best) {
-                const int rung = rung_for(*best, s);
-                if (rung >= 0) return send(id, *best, rung, true);
-            } else if (soonest < last) {
-                return hold(id, now_);
-            } else if (soonest < kAlways) {
-                return give_up(id, soonest - now_);
+                const int rung = choose_rung(*best, session);
+                if (rung >= 0) return send_setup(id, *best, rung, true);
+            } else if (soonest < latest_start) {
+                return enqueue(id, now_);
+            } else if (soonest < kFarFuture) {
+                return reject_or_fail(id, soonest - now_);
             }
-            if (best) return give_up(id, view() / std::max(1.0, best->streams.total));
+            if (best) return reject_or_fail(id, view_time() / std::max(1.0, best->streams.capacity));
         }
-        give_up(id, kRest);
+        reject_or_fail(id, kMinBackoff);
     }
 
-    void hold(SessionId id, Time until) {
-        sessions_.at(id).state = Session::State::held;
-        held_.insert(id);
-        wake(until);
+    void enqueue(SessionId id, Time until) {
+        sessions_.at(id).state = Session::State::queued;
+        queued_.insert(id);
+        set_timer(until);
     }
 
-    // The rung at which the session can join a live stream of ours at the server, else -1.
-    int joinable(Server& v, const Session& s) {
-        if (!shares(s)) return -1;
+    // Rung at which the session can join a live stream of this director at the server, or -1.
+    int joinable_rung(Server& server, const Session& session) {
+        if (!shares_stream(session)) return -1;
         int rung = -1;
-        for (const SessionId id : v.sessions) {
-            const Session& o = sessions_.at(id);
-            if (o.request.title == s.request.title && o.request.cls == s.request.cls && o.rung <= top(s) &&
-                o.rung >= cls(s).min_rung)
-                rung = std::max(rung, o.rung);
+        for (const SessionId id : server.sessions) {
+            const Session& other = sessions_.at(id);
+            if (other.request.title == session.request.title && other.request.cls == session.request.cls &&
+                other.rung <= max_rung(session) && other.rung >= class_of(session).min_rung)
+                rung = std::max(rung, other.rung);
         }
-        return rung >= 0 && use(v) < kMark ? rung : -1;
-    }
-
-    void send(SessionId id, Server& v, int rung, bool grant) {
-        Session& s = sessions_.at(id);
-        held_.erase(id);
-        if (grant) v.last_grant = now_, v.granted += 1;
-        if (now_ < v.cold_since + set_.warmup_time) spend_cold(v, 1);
-        if (v.strikes > 0) v.rest_until = now_ + kRest;  // one test at a time
-        if (s.attempts > 0) repeats_.push_back(now_);
-        s.attempts += 1;
-        s.tried.insert(v.entry.id);
-        s.state = Session::State::out;
-        s.server = v.entry.id;
-        s.sent = now_;
-        s.rung = s.told = rung;
-        Time expires = s.request.deadline;
-        if (cls(s).idempotency == Idempotency::idempotent && aim(s) > now_) {
-            const bool again = s.attempts < set_.max_attempts && budget_left(1);
-            expires = again ? std::max(now_ + kLeastTry, now_ + kTryPart * (aim(s) - now_)) : aim(s);
-            expires = std::min(expires, s.request.deadline);
+        return rung >= 0 && utilization(server) < kTargetUtilization ? rung : -1;
+    }
+
+    // Sends the set-up of a session. `is_new_stream`: it takes a new stream, which counts in the pacing.
+    void send_setup(SessionId id, Server& server, int rung, bool is_new_stream) {
+        Session& session = sessions_.at(id);
+        queued_.erase(id);
+        if (is_new_stream) server.last_grant = now_, server.granted_streams += 1;
+        if (now_ < server.cold_since + cfg_.warmup_time) delay_cold_setup(server, 1);
+        if (server.failures > 0) server.backoff_until = now_ + kMinBackoff;  // one trial at a time
+        if (session.attempts > 0) retries_.push_back(now_);
+        session.attempts += 1;
+        session.tried_servers.insert(server.entry.id);
+        session.state = Session::State::pending;
+        session.server = server.entry.id;
+        session.sent_at = now_;
+        session.rung = session.sent_rung = rung;
+        Time expires = session.request.deadline;
+        if (class_of(session).idempotency == Idempotency::idempotent && startup_deadline(session) > now_) {
+            const bool can_retry = session.attempts < cfg_.max_attempts && has_retry_budget(1);
+            expires = can_retry ? std::max(now_ + kMinAttemptTime,
+                                           now_ + kAttemptTimeShare * (startup_deadline(session) - now_))
+                                : startup_deadline(session);
+            expires = std::min(expires, session.request.deadline);
         }
-        if (cls(s).seats > 0) seats_[{s.request.title, s.request.cls}] += 1;
-        wake(expires);  // also to know of an own stall
-        if (v.sessions.insert(id).second) count(v, s, 1);
-        recount(v);
-        act(SetRung{id, rung});
-        act(SendSetup{id, v.entry.id, expires});
+        if (class_of(session).seats > 0) seats_taken_[{session.request.title, session.request.cls}] += 1;
+        set_timer(expires);  // also to detect a stall of this director
+        if (server.sessions.insert(id).second) count_session(server, session, 1);
+        update_own_load(server);
+        emit(SetRung{id, rung});
+        emit(SendSetup{id, server.entry.id, expires});
     }
 
     // ---- Rungs ----
 
-    // Worth a second won for each kB a second in going from one rung to another (from -1: from nothing).
-    double density(const Session& s, int from, int to) const {
+    // Worth a second gained for each kB/s by going from one rung to another (from -1: from no stream).
+    double worth_per_kb(const Session& s, int from, int to) const {
         const double kb = rate(s, to) - (from < 0 ? 0 : rate(s, from));
-        return s.worth * (set_.rung_worth[to] - (from < 0 ? 0 : set_.rung_worth[from])) / std::max(kb, 1e-9);
+        return s.worth * (cfg_.rung_worth[to] - (from < 0 ? 0 : cfg_.rung_worth[from])) / std::max(kb, 1e-9);
     }
 
-    double recent() const { return arrivals_ * std::exp((arrived_ - now_) / kArrivals); }
-    double arrivals() const { return std::max(0.0, recent() - 1) / kArrivals; }  // beside the one decided on
-
-    // The highest rung with room under the mark. Where even the rung that earns most for its rate has none,
-    // own sessions that earn less for theirs step down first.
-    int rung_for(Server& v, const Session& s) {
-        int best = cls(s).min_rung;
-        for (int r = best + 1; r <= top(s); ++r)
-            if (density(s, -1, r) > density(s, -1, best)) best = r;
-        // Where the uplink is what is short, sessions on all servers of the rack can make room.
-        const double price = density(s, -1, best) * kSwapGain;
-        if (const double lack = rate(s, best) - room(v); lack > 0) lower(v, lack, price);
+    double recent_arrivals() const {
+        return arrival_count_ * std::exp((last_arrival_ - now_) / kArrivalMemory);
+    }
+    // Arrivals per millisecond, without the session that is being decided.
+    double arrival_rate() const { return std::max(0.0, recent_arrivals() - 1) / kArrivalMemory; }
+
+    // The highest rung that fits in the headroom, or -1. Where even the rung of the highest worth per rate
+    // does not fit, own sessions with a lower worth per rate step down first.
+    int choose_rung(Server& server, const Session& session) {
+        int best = class_of(session).min_rung;
+        for (int r = best + 1; r <= max_rung(session); ++r)
+            if (worth_per_kb(session, -1, r) > worth_per_kb(session, -1, best)) best = r;
+        // If the uplink is the bottleneck, sessions on all servers of the rack can make room.
+        const double max_cost = worth_per_kb(session, -1, best) * kMaxStepDownCost;
+        if (const double shortage = rate(session, best) - headroom(server); shortage > 0)
+            free_rate(server, shortage, max_cost);
         for (auto& [id, other] : servers_) {
-            if (rack(other) != rack(v) || link_room(v) < rate(s, best)) continue;
-            if (const double lack = rate(s, best) - room(v); lack > 0) lower(other, lack, price);
+            if (rack_of(other) != rack_of(server) || link_headroom(server) < rate(session, best)) continue;
+            if (const double shortage = rate(session, best) - headroom(server); shortage > 0)
+                free_rate(other, shortage, max_cost);
         }
-        const double left = room(v);
-        const Time age = std::clamp(now_ - v.link.seen, kNewest, kFresh);
-        const double part =
-            kRoomPart / (1 + arrivals() * age * set_.directors / std::max<std::size_t>(1, ready_));
+        const double room = headroom(server);
+        const Time age = std::clamp(now_ - server.link.last_report, kMinReportAge, kFreshAge);
+        const double share = kHeadroomShare / (1 + arrival_rate() * age * cfg_.directors /
+                                                       std::max<std::size_t>(1, ready_servers_));
         int rung = -1;
-        for (int r = cls(s).min_rung;
-             r <= top(s) && rate(s, r) * first_part(s) <= left * (r > best ? part : 1); ++r)
+        for (int r = class_of(session).min_rung;
+             r <= max_rung(session) &&
+             rate(session, r) * first_share(session) <= room * (r > best ? share : 1);
+             ++r)
             rung = r;
         return rung;
     }
 
-    struct Step {
-        std::vector<SessionId> members;
-        int to;
-        double kb, density;
+    // A change of rung of one session or of all sessions that share a stream.
+    struct RungStep {
+        std::vector<SessionId> sessions;
+        int rung;
+        double kb, worth_per_kb;
     };
-    // The cheapest step down (or the best step up) among own playing streams at a server; members move
-    // together.
-    std::optional<Step> step(const Server& v, int by) {
-        std::optional<Step> best;
+    // The cheapest step down (-1) or the most valuable step up (+1) among our own streams at the server. All
+    // viewers of a stream step together.
+    std::optional<RungStep> best_step(const Server& server, int direction) {
+        std::optional<RungStep> best;
         std::set<std::tuple<TitleId, int, int>> seen;
-        for (const SessionId id : v.sessions) {
-            const Session& s = sessions_.at(id);
-            if (shares(s) && !seen.insert({s.request.title, s.request.cls, s.rung}).second) continue;
-            Step one{{}, s.rung + by, 0, 0};
+        for (const SessionId id : server.sessions) {
+            const Session& session = sessions_.at(id);
+            if (shares_stream(session) &&
+                !seen.insert({session.request.title, session.request.cls, session.rung}).second)
+                continue;
+            RungStep step{{}, session.rung + direction, 0, 0};
             double worth = 0;
-            bool able = true;
-            for (const SessionId other : shares(s) ? v.sessions : std::set<SessionId>{id}) {
-                const Session& o = sessions_.at(other);
-                if (o.answered) continue;  // nobody waits for it any more
-                if (o.request.title != s.request.title || o.request.cls != s.request.cls || o.rung != s.rung)
+            bool allowed = true;
+            for (const SessionId member :
+                 shares_stream(session) ? server.sessions : std::set<SessionId>{id}) {
+                const Session& viewer = sessions_.at(member);
+                if (viewer.abandoned) continue;
+                if (viewer.request.title != session.request.title ||
+                    viewer.request.cls != session.request.cls || viewer.rung != session.rung)
                     continue;
-                able = able && o.state != Session::State::held && one.to >= cls(o).min_rung &&
-                       one.to <= top(o) && (by < 0 || now_ - o.risen >= kRiseEvery || now_ == o.risen);
-                worth += o.worth;
-                one.members.push_back(other);
+                allowed = allowed && viewer.state != Session::State::queued &&
+                          step.rung >= class_of(viewer).min_rung && step.rung <= max_rung(viewer) &&
+                          (direction < 0 || now_ - viewer.last_step_up >= kMinStepUpInterval ||
+                           now_ == viewer.last_step_up);
+                worth += viewer.worth;
+                step.sessions.push_back(member);
             }
-            if (!able || one.members.empty()) continue;
-            const double unit = std::abs(rate(s, one.to) - rate(s, s.rung));
-            one.kb = unit * (first_part(s) + set_.join_rate_factor * (one.members.size() - 1));
-            one.density = worth * std::abs(set_.rung_worth[one.to] - set_.rung_worth[s.rung]) / one.kb;
-            if (!best || (by < 0 ? one.density < best->density : one.density > best->density)) best = one;
+            if (!allowed || step.sessions.empty()) continue;
+            const double kb_change = std::abs(rate(session, step.rung) - rate(session, session.rung));
+            step.kb = kb_change * (first_share(session) + cfg_.join_rate_factor * (step.sessions.size() - 1));
+            step.worth_per_kb =
+                worth * std::abs(cfg_.rung_worth[step.rung] - cfg_.rung_worth[session.rung]) / step.kb;
+            if (!best || (direction < 0 ? step.worth_per_kb < best->worth_per_kb
+                                        : step.worth_per_kb > best->worth_per_kb))
+                best = step;
         }
         return best;
     }
-    void take(Server& v, const Step& step, bool up) {
-        for (const SessionId id : step.members) {
-            Session& s = sessions_.at(id);
-            count(v, s, -1);
-            s.rung = step.to;
-            count(v, s, 1);
-            if (up) s.risen = now_;
-            changed_.insert(id);
+    void apply_step(Server& server, const RungStep& step, bool is_step_up) {
+        for (const SessionId id : step.sessions) {
+            Session& session = sessions_.at(id);
+            count_session(server, session, -1);
+            session.rung = step.rung;
+            count_session(server, session, 1);
+            if (is_step_up) session.last_step_up = now_;
+            changed_rungs_.insert(id);
         }
-        wake(now_);
-        recount(v);
+        set_timer(now_);
+        update_own_load(server);
     }
-    void lower(Server& v, double kb, double below) {
+    // Frees `kb` kB/s by steps down that cost less than this worth per kB/s.
+    void free_rate(Server& server, double kb, double max_cost) {
         while (kb > 0) {
-            const auto down = step(v, -1);
-            if (!down || down->density >= below) return;
+            const auto down = best_step(server, -1);
+            if (!down || down->worth_per_kb >= max_cost) return;
             kb -= down->kb;
-            take(v, *down, false);
+            apply_step(server, *down, false);
         }
     }
 
-    // What a step of one of our sessions, on any server, earns or costs for its rate: with one session a
-    // server, the cheapest of all directors' steps come first only if each weighs its own against the usual.
-    double usual_density(int by) const {
+    // Mean worth per kB/s of a step of one of our own sessions on any server. With one session on a server,
+    // the cheapest steps of all directors come first only if each compares its own step with this mean.
+    double mean_worth_per_kb(int direction) const {
         double kb = 0, sum = 0;
         for (const auto& [id, s] : sessions_) {
-            const int to = s.rung + by;
-            if (s.state == Session::State::held || to < cls(s).min_rung || to > top(s)) continue;
-            const double one = std::abs(rate(s, to) - rate(s, s.rung)) * first_part(s);
-            const double density = s.worth * std::abs(set_.rung_worth[to] - set_.rung_worth[s.rung]) / one;
-            kb += one;
-            sum += by < 0 ? one / std::max(density, 1e-9) : one * density;
+            const int to = s.rung + direction;
+            if (s.state == Session::State::queued || to < class_of(s).min_rung || to > max_rung(s)) continue;
+            const double kb_change = std::abs(rate(s, to) - rate(s, s.rung)) * first_share(s);
+            const double step_worth =
+                s.worth * std::abs(cfg_.rung_worth[to] - cfg_.rung_worth[s.rung]) / kb_change;
+            kb += kb_change;
+            sum += direction < 0 ? kb_change / std::max(step_worth, 1e-9) : kb_change * step_worth;
         }
-        return kb <= 0 || sum <= 0 ? 1 : by < 0 ? kb / sum : sum / kb;
-    }
-
-    // On news, own rates go towards the mark in proportion: if all directors do so the whole meets it. A step
-    // that is more than the own part is taken by chance in that proportion: rounded up, every director with
-    // one session there would fall on one word, and rounded down none would ever rise.
-    bool chance(double part) { return std::uniform_real_distribution<double>(0, 1)(random_) < part; }
-    void regulate(Server& v) {
-        const bool news = v.news;
-        v.news = false;
-        v.looked = now_;
-        const double now_used = use(v);
-        if (news && now_used > kMark + kFallOver) {
-            if (now_ < v.fell + set_.note_delay + kSettle) return;
-            v.fell = now_;
-            double kb = v.link.own * (1 - kMark / now_used);
-            while (const auto down = step(v, -1)) {
-                if (!chance(kb / down->kb * usual_density(-1) / down->density)) break;
+        return kb <= 0 || sum <= 0 ? 1 : direction < 0 ? kb / sum : sum / kb;
+    }
+
+    bool draw(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
+    // On a new report own rates change in proportion to the distance from the target: if all directors do so,
+    // the total meets it. A step larger than the own part is taken with that proportion as probability:
+    // rounded up, every director with one session there would step down at once, and rounded down none would
+    // step up.
+    void adjust_rungs(Server& server) {
+        const bool new_report = server.new_report;
+        server.new_report = false;
+        server.last_rung_check = now_;
+        const double used = utilization(server);
+        if (new_report && used > kTargetUtilization + kStepDownMargin) {
+            if (now_ < server.last_step_down + cfg_.note_delay + kStepDownSettleTime) return;
+            server.last_step_down = now_;
+            double kb = server.link.own_load * (1 - kTargetUtilization / used);
+            while (const auto down = best_step(server, -1)) {
+                if (!draw(kb / down->kb * mean_worth_per_kb(-1) / down->worth_per_kb)) break;
                 kb -= down->kb;
-                take(v, *down, false);
+                apply_step(server, *down, false);
             }
-        } else if (!news && set_.can_probe && !set_.report_fields.empty() && v.asked == kNever &&
-                   now_ - v.link.seen > kRiseAsk && now_used < kMark - kRiseUnder) {
-            v.asked = now_;
-            act(Probe{v.entry.id});
-        } else if (now_used < kMark - (news ? kRiseUnder : kRiseUnheard) && now_ >= v.rest_until) {
-            double kb = v.link.own * (kMark / std::max(now_used, 0.1) - 1);
-            while (const auto up = step(v, +1)) {
-                if (up->kb > room(v) || !chance(kb / up->kb * up->density / usual_density(+1))) break;
+        } else if (!new_report && cfg_.can_probe && !cfg_.report_fields.empty() &&
+                   server.probed_at == kFarPast && now_ - server.link.last_report > kStepUpProbeInterval &&
+                   used < kTargetUtilization - kStepUpMargin) {
+            server.probed_at = now_;
+            emit(Probe{server.entry.id});
+        } else if (used < kTargetUtilization - (new_report ? kStepUpMargin : kBlindStepUpMargin) &&
+                   now_ >= server.backoff_until) {
+            double kb = server.link.own_load * (kTargetUtilization / std::max(used, 0.1) - 1);
+            while (const auto up = best_step(server, +1)) {
+                if (up->kb > headroom(server) ||
+                    !draw(kb / up->kb * up->worth_per_kb / mean_worth_per_kb(+1)))
+                    break;
                 kb -= up->kb;
-                take(v, *up, true);
+                apply_step(server, *up, true);
             }
         }
     }
 
     // ---- Health ----
 
-    void answered(Server& v) {
-        if (v.broke || v.strikes > 1) chill(v, now_);  // it may have started anew
-        v.broke = false;
-        v.strikes = 0;
-        v.rest_until = kNever;
-        v.last_ok = now_;
+    void record_answer(Server& server) {
+        if (server.connection_broke || server.failures > 1) mark_cold(server, now_);  // it may have restarted
+        server.connection_broke = false;
+        server.failures = 0;
+        server.backoff_until = kFarPast;
+        server.last_answer = now_;
     }
-    // What a director that stood still finds in one moment tells of itself: no server is blamed for silence
-    // then.
-    void strike(Server& v, bool broke) {
-        if (!broke && now_ == stalled_) return;
-        v.strikes += 1;
-        v.broke = v.broke || broke;
-        if (broke) chill(v, now_);
-        v.rest_until = now_ + std::min(kLongestRest, kRest * std::pow(2, std::min(v.strikes, 6)));
+    // Records a missing answer or a broken connection. Time-outs that a director finds right after it was
+    // stalled are caused by its own stall: no server is blamed for them.
+    void record_failure(Server& server, bool connection_broke) {
+        if (!connection_broke && now_ == stalled_at_) return;
+        server.failures += 1;
+        server.connection_broke = server.connection_broke || connection_broke;
+        if (connection_broke) mark_cold(server, now_);
+        server.backoff_until =
+            now_ + std::min(kMaxBackoff, kMinBackoff * std::pow(2, std::min(server.failures, 6)));
     }
 
     // ---- Attempts and answers ----
 
-    bool budget_left(int more) {
-        if (!set_.retry_budget) return true;
-        const Time from = now_ - set_.retry_budget->window;
-        while (!repeats_.empty() && repeats_.front() < from) repeats_.pop_front();
+    // Whether the retry budget allows this many more retries; drops entries older than the window.
+    bool has_retry_budget(int retries) {
+        if (!cfg_.retry_budget) return true;
+        const Time from = now_ - cfg_.retry_budget->window;
+        while (!retries_.empty() && retries_.front() < from) retries_.pop_front();
         while (!requests_.empty() && requests_.front() <= from) requests_.pop_front();
-        return repeats_.size() + more <=
-               set_.retry_budget->free_retries + set_.retry_budget->retries_per_request * requests_.size();
-    }
-    bool may_repeat(const Session& s) {
-        if (!budget_left(1)) return false;
-        if (!s.may_have_run || cls(s).idempotency == Idempotency::idempotent) return true;
-        return cls(s).idempotency == Idempotency::keyed && cls(s).retry_scope == RetryScope::anywhere &&
-               now_ < s.sent + cls(s).retry_window;
-    }
-
-    void give_up(SessionId id, Time again = 0) {
-        const Session& s = sessions_.at(id);
-        const bool refusable =
-            !s.may_have_run || cls(s).idempotency == Idempotency::idempotent ||
-            (cls(s).idempotency == Idempotency::keyed && cls(s).retry_scope == RetryScope::anywhere);
-        if (refusable) act(Reject{id, std::clamp(again, 0.0, set_.max_retry_after)});
-        else act(Fail{id});
-        held_.erase(id);
+        return retries_.size() + retries <=
+               cfg_.retry_budget->free_retries + cfg_.retry_budget->retries_per_request * requests_.size();
+    }
+    bool may_retry(const Session& s) {
+        if (!has_retry_budget(1)) return false;
+        if (!s.may_have_run || class_of(s).idempotency == Idempotency::idempotent) return true;
+        return class_of(s).idempotency == Idempotency::keyed &&
+               class_of(s).retry_scope == RetryScope::anywhere && now_ < s.sent_at + class_of(s).retry_window;
+    }
+
+    // Ends a session without placement: rejects it where it may be requested again, else reports failure.
+    void reject_or_fail(SessionId id, Time retry_after = 0) {
+        const Session& session = sessions_.at(id);
+        const bool can_reject = !session.may_have_run ||
+                                class_of(session).idempotency == Idempotency::idempotent ||
+                                (class_of(session).idempotency == Idempotency::keyed &&
+                                 class_of(session).retry_scope == RetryScope::anywhere);
+        if (can_reject) emit(Reject{id, std::clamp(retry_after, 0.0, cfg_.max_retry_after)});
+        else emit(Fail{id});
+        queued_.erase(id);
         sessions_.erase(id);
     }
 
-    void on(const SessionRequest& q) {
-        arrivals_ = recent() + 1, arrived_ = now_;
-        if (set_.retry_budget) requests_.push_back(now_);
-        budget_left(0);
-        if (q.length_hint) hint_sum_ += *q.length_hint, hints_ += 1;
-        Session s;
-        s.request = q;
-        s.taken = now_;
-        s.worth = cls(s).worth * (over_share(q) ? set_.over_share_worth : 1);
-        sessions_[q.id] = s;
-        place(q.id);
-    }
-
-    // Each viewer counts once and keeps its verdict: those who come again after a refusal are no new demand.
-    bool over_share(const SessionRequest& q) {
-        if (q.tenant >= int(set_.tenants.size()) || set_.tenants[q.tenant].quota_per_s <= 0) return false;
-        while (!viewers_.empty() && viewers_.front().first < now_ - kRemember) {
-            verdicts_.erase(viewers_.front().second);
-            viewers_.pop_front();
+    void handle_event(const SessionRequest& request) {
+        arrival_count_ = recent_arrivals() + 1, last_arrival_ = now_;
+        if (cfg_.retry_budget) requests_.push_back(now_);
+        has_retry_budget(0);
+        if (request.length_hint) hint_sum_ += *request.length_hint, hint_count_ += 1;
+        Session session;
+        session.request = request;
+        session.received_at = now_;
+        session.worth = class_of(session).worth * (is_over_share(request) ? cfg_.over_share_worth : 1);
+        sessions_[request.id] = session;
+        place(request.id);
+    }
+
+    // Whether the request exceeds its tenant's share. Each viewer counts once and keeps its classification:
+    // requests repeated after a rejection are no new demand.
+    bool is_over_share(const SessionRequest& request) {
+        if (request.tenant >= int(cfg_.tenants.size()) || cfg_.tenants[request.tenant].quota_per_s <= 0)
+            return false;
+        while (!recent_viewers_.empty() && recent_viewers_.front().first < now_ - kViewerMemory) {
+            over_share_.erase(recent_viewers_.front().second);
+            recent_viewers_.pop_front();
         }
-        const auto [verdict, unseen] = verdicts_.try_emplace(q.viewer, false);
-        if (!unseen) return verdict->second;
-        viewers_.emplace_back(now_, q.viewer);
-        auto& times = tenants_[q.tenant];
-        while (!times.empty() && times.front() < now_ - kShareWindow) times.pop_front();
-        const double part = set_.tenants[q.tenant].quota_per_s * kShareWindow / 1000 / set_.directors;
-        verdict->second = times.size() >= kOverShare * part + 2;
-        if (!verdict->second) times.push_back(now_);
-        return verdict->second;
-    }
-
-    void on(const SessionAdopted& e) {
-        // At the start of a day, not of this director alone, servers are warm unless listed so. What is
-        // handed over later (an attempt that a server may hold still) tells nothing of the servers.
-        if (!adopting_ && now_ == born_) {
-            adopting_ = true;
-            for (auto& [id, v] : servers_)
-                v.cold_since = v.entry.last_start > 0 ? v.entry.last_start : kNever;
+        const auto [entry, is_new] = over_share_.try_emplace(request.viewer, false);
+        if (!is_new) return entry->second;
+        recent_viewers_.emplace_back(now_, request.viewer);
+        auto& times = tenant_requests_[request.tenant];
+        while (!times.empty() && times.front() < now_ - kQuotaWindow) times.pop_front();
+        const double quota = cfg_.tenants[request.tenant].quota_per_s * kQuotaWindow / 1000 / cfg_.directors;
+        entry->second = times.size() >= kOverShareFactor * quota + 2;
+        if (!entry->second) times.push_back(now_);
+        return entry->second;
+    }
+
+    void handle_event(const SessionAdopted& event) {
+        // Sessions adopted at our start show that the service was running: servers are warm unless listed
+        // with a start. Later adoptions (attempts that a server may still hold) say nothing about the
+        // servers.
+        if (!has_adopted_ && now_ == started_at_) {
+            has_adopted_ = true;
+            for (auto& [id, server] : servers_)
+                server.cold_since = server.entry.last_start > 0 ? server.entry.last_start : kFarPast;
         }
-        Session s;
-        s.request = e.request;
-        s.taken = now_;
-        s.state = Session::State::playing;
-        s.answered = false;
-        s.server = e.server;
-        s.attempts = 1;
-        s.rung = cls(s).min_rung;
-        s.worth = cls(s).worth;
-        sessions_[e.request.id] = s;
-        plays(e.request.title);
-        if (cls(s).seats > 0) seats_[{s.request.title, s.request.cls}] += 1;
-        if (Server* v = server(e.server); v && v->sessions.insert(e.request.id).second) {
-            count(*v, s, 1);
-            recount(*v), forget_past(*v);
+        Session session;
+        session.request = event.request;
+        session.received_at = now_;
+        session.state = Session::State::established;
+        session.abandoned = false;
+        session.server = event.server;
+        session.attempts = 1;
+        session.rung = class_of(session).min_rung;
+        session.worth = class_of(session).worth;
+        sessions_[event.request.id] = session;
+        remember_title(event.request.title);
+        if (class_of(session).seats > 0) seats_taken_[{session.request.title, session.request.cls}] += 1;
+        if (Server* server = find_server(event.server);
+            server && server->sessions.insert(event.request.id).second) {
+            count_session(*server, session, 1);
+            update_own_load(*server), clear_own_history(*server);
         }
     }
 
-    void on(const SessionEstablished& e) {
-        if (Server* v = server(e.server)) {
-            answered(*v);
-            v->failing *= 1 - kFailEase;
+    void handle_event(const SessionEstablished& event) {
+        if (Server* server = find_server(event.server)) {
+            record_answer(*server);
+            server->error_rate *= 1 - kErrorRateDecay;
         }
-        const auto it = sessions_.find(e.id);
+        const auto it = sessions_.find(event.id);
         if (it == sessions_.end()) return;
-        Session& s = it->second;
-        s.state = Session::State::playing;
-        for (const ServerId id : s.errors)
-            if (Server* v = server(id)) blame(*v);
-        s.errors.clear();
-        plays(s.request.title);
-    }
-    void blame(Server& v) { v.failing += kFailGain * (1 - v.failing); }
-    void plays(TitleId title) {
-        if (titles_.size() >= kTitles) titles_.clear();
-        titles_.insert(title);
-    }
-
-    void on(const AttemptEnded& e) {
-        Server* v = server(e.server);
-        const auto it = sessions_.find(e.id);
-        const bool was_out = it != sessions_.end() && it->second.state == Session::State::out;
-        if (v) {
-            learn(*v, e.report);
-            if (was_out) {
-                if (e.outcome == Outcome::timed_out) strike(*v, false);
-                if (e.outcome == Outcome::full) {
-                    // "Full" is word too, the freshest there is: of the link where servers refuse by it.
-                    v->full_until = now_ + kFullRest;
-                    Account& a = set_.full_utilization > 0 ? v->link : v->streams;
-                    const double least = set_.full_utilization > 0 ? set_.full_utilization : 1;
-                    if (a.use(now_) < least) a.learn(now_, least, 0, 1);
+        Session& session = it->second;
+        session.state = Session::State::established;
+        for (const ServerId id : session.error_servers)
+            if (Server* server = find_server(id)) record_error(*server);
+        session.error_servers.clear();
+        remember_title(session.request.title);
+    }
+    void record_error(Server& server) { server.error_rate += kErrorRateGain * (1 - server.error_rate); }
+    void remember_title(TitleId title) {
+        if (played_titles_.size() >= kMaxPlayedTitles) played_titles_.clear();
+        played_titles_.insert(title);
+    }
+
+    void handle_event(const AttemptEnded& event) {
+        Server* server = find_server(event.server);
+        const auto it = sessions_.find(event.id);
+        const bool was_pending = it != sessions_.end() && it->second.state == Session::State::pending;
+        if (server) {
+            add_report(*server, event.report);
+            if (was_pending) {
+                if (event.outcome == Outcome::timed_out) record_failure(*server, false);
+                if (event.outcome == Outcome::full) {
+                    // "Full" is the newest report there is: of the link where it causes the answer.
+                    server->full_until = now_ + kFullBackoff;
+                    ResourceLoad& load = cfg_.full_utilization > 0 ? server->link : server->streams;
+                    const double least = cfg_.full_utilization > 0 ? cfg_.full_utilization : 1;
+                    if (load.utilization(now_) < least) load.add_report(now_, least, 0, 1);
                 }
-                if (e.outcome == Outcome::error) {
-                    if (titles_.count(it->second.request.title)) blame(*v);
-                    else it->second.errors.push_back(e.server);
+                if (event.outcome == Outcome::error) {
+                    if (played_titles_.count(it->second.request.title)) record_error(*server);
+                    else it->second.error_servers.push_back(event.server);
                 }
             }
-            if (e.outcome == Outcome::reset || e.outcome == Outcome::not_connected) strike(*v, true);
+            if (event.outcome == Outcome::reset || event.outcome == Outcome::not_connected)
+                record_failure(*server, true);
         }
         if (it == sessions_.end()) return;
-        Session& s = it->second;
-        if (v && v->sessions.erase(e.id) > 0) count(*v, s, -1);
-        if (cls(s).seats > 0) seats_[{s.request.title, s.request.cls}] -= 1;
-        const bool ended = e.session_ended || s.answered || !was_out;
-        if (e.outcome != Outcome::full && e.outcome != Outcome::not_connected &&
-            e.outcome != Outcome::not_sent)
-            s.may_have_run = true;
-        if (ended) held_.erase(e.id), sessions_.erase(it);
-        if (v) recount(*v);
-        if (ended) return;
-        s.state = Session::State::held;
-        if (s.may_have_run && cls(s).idempotency == Idempotency::non_idempotent) return give_up(e.id);
-        if (now_ >= aim(s) - kSetUp / 2 || s.errors.size() >= kErrors) return give_up(e.id);
-        place(e.id);
-    }
-
-    void on(const SessionAbandoned& e) {
-        const auto it = sessions_.find(e.id);
+        Session& session = it->second;
+        if (server && server->sessions.erase(event.id) > 0) count_session(*server, session, -1);
+        if (class_of(session).seats > 0) seats_taken_[{session.request.title, session.request.cls}] -= 1;
+        const bool is_over = event.session_ended || session.abandoned || !was_pending;
+        if (event.outcome != Outcome::full && event.outcome != Outcome::not_connected &&
+            event.outcome != Outcome::not_sent)
+            session.may_have_run = true;
+        if (is_over) queued_.erase(event.id), sessions_.erase(it);
+        if (server) update_own_load(*server);
+        if (is_over) return;
+        session.state = Session::State::queued;
+        if (session.may_have_run && class_of(session).idempotency == Idempotency::non_idempotent)
+            return reject_or_fail(event.id);
+        if (now_ >= startup_deadline(session) - kSetupTime / 2 || session.error_servers.size() >= kMaxErrors)
+            return reject_or_fail(event.id);
+        place(event.id);
+    }
+
+    void handle_event(const SessionAbandoned& event) {
+        const auto it = sessions_.find(event.id);
         if (it == sessions_.end()) return;
-        held_.erase(e.id);
-        // Taken back, it is no request that earns further attempts: one client that takes back hundreds at
-        // once would pay for those of everybody.
-        const auto counted = std::lower_bound(requests_.begin(), requests_.end(), it->second.taken);
-        if (counted != requests_.end() && *counted == it->second.taken) requests_.erase(counted);
-        if (it->second.state == Session::State::held) sessions_.erase(it);
-        else it->second.answered = true;  // its attempt still holds a stream and a seat
-    }
-
-    void on(const TimerExpired&) {
-        if (now_ >= next_alarm_) next_alarm_ = kAlways;
-        const std::set<SessionId> held = held_;
-        std::vector<std::pair<Time, SessionId>> order;  // first come, first served
-        for (const SessionId id : held) order.emplace_back(sessions_.at(id).taken, id);
-        std::sort(order.begin(), order.end());
-        for (const auto& [taken, id] : order)
-            if (held_.count(id)) place(id);
-        for (const ServerId id : mine_)
-            if (Server& v = servers_.at(id); v.listed && (v.news || now_ >= v.looked + kLook)) regulate(v);
-        // Several steps of one session between two looks are one change: each change costs.
-        for (const SessionId id : changed_) {
+        queued_.erase(event.id);
+        // A withdrawn request adds nothing to the retry budget: otherwise one client that withdraws hundreds
+        // at once would earn retries for everyone.
+        const auto counted = std::lower_bound(requests_.begin(), requests_.end(), it->second.received_at);
+        if (counted != requests_.end() && *counted == it->second.received_at) requests_.erase(counted);
+        if (it->second.state == Session::State::queued) sessions_.erase(it);
+        else it->second.abandoned = true;  // its attempt still occupies a stream and a seat
+    }
+
+    void handle_event(const TimerExpired&) {
+        if (now_ >= next_timer_) next_timer_ = kFarFuture;
+        const std::set<SessionId> queued = queued_;
+        std::vector<std::pair<Time, SessionId>> arrival_order;  // in order of arrival
+        for (const SessionId id : queued) arrival_order.emplace_back(sessions_.at(id).received_at, id);
+        std::sort(arrival_order.begin(), arrival_order.end());
+        for (const auto& [received_at, id] : arrival_order)
+            if (queued_.count(id)) place(id);
+        for (const ServerId id : servers_in_use_)
+            if (Server& server = servers_.at(id);
+                server.listed && (server.new_report || now_ >= server.last_rung_check + kRungCheckInterval))
+                adjust_rungs(server);
+        // Several steps of a session since the last check are sent as one change: each change costs.
+        for (const SessionId id : changed_rungs_) {
             const auto it = sessions_.find(id);
-            if (it == sessions_.end() || it->second.told == it->second.rung) continue;
-            it->second.told = it->second.rung;
-            act(SetRung{id, it->second.rung});
+            if (it == sessions_.end() || it->second.sent_rung == it->second.rung) continue;
+            it->second.sent_rung = it->second.rung;
+            emit(SetRung{id, it->second.rung});
         }
-        changed_.clear();
-        if (!mine_.empty()) wake(now_ + kLook);
-        if (!set_.list_on_request) return;
-        if (now_ - asked_ > set_.max_list_poll_interval / 3) act(FetchServerList{}), asked_ = now_;
-        wake(asked_ + set_.max_list_poll_interval / 3);
+        changed_rungs_.clear();
+        if (!servers_in_use_.empty()) set_timer(now_ + kRungCheckInterval);
+        if (!cfg_.list_on_request) return;
+        if (now_ - list_fetched_at_ > cfg_.max_list_poll_interval / 3)
+            emit(FetchServerList{}), list_fetched_at_ = now_;
+        set_timer(list_fetched_at_ + cfg_.max_list_poll_interval / 3);
     }
 
     // ---- Membership ----
 
-    void on(const ServerList& e) {
-        if (e.kind == ListKind::failed) return;
-        if (e.kind != ListKind::changes)
-            for (auto& [id, v] : servers_) v.listed = false;
-        for (const ServerEntry& entry : e.entries) {
+    void handle_event(const ServerList& event) {
+        if (event.kind == ListKind::failed) return;
+        if (event.kind != ListKind::changes)
+            for (auto& [id, server] : servers_) server.listed = false;
+        for (const ServerEntry& entry : event.entries) {
             const auto it = servers_.try_emplace(entry.id).first;
-            Server& v = it->second;
-            // A saved list may be old: any server on it may have started since, so all are paced as cold.
-            // A whole list that is fresh ends the doubt: after a restart viewers come in crowds.
-            if (e.kind == ListKind::saved) chill(v, now_), v.doubted = true;
-            if (e.kind == ListKind::full && v.doubted && now_ >= born_ + kTold) {
-                v.doubted = false;
-                v.cold_since = entry.last_start > 0 ? entry.last_start : kNever;
+            Server& server = it->second;
+            // A saved list may be outdated: any server on it may have started since, so all are paced as
+            // cold. A recent full list ends this, because after a restart many viewers arrive at once.
+            if (event.kind == ListKind::saved) mark_cold(server, now_), server.from_saved_list = true;
+            if (event.kind == ListKind::full && server.from_saved_list &&
+                now_ >= started_at_ + kStartListDelay) {
+                server.from_saved_list = false;
+                server.cold_since = entry.last_start > 0 ? entry.last_start : kFarPast;
             }
-            if (entry.last_start > v.entry.last_start) chill(v, std::max(v.cold_since, entry.last_start));
-            v.entry = entry;
-            v.listed = entry.state != ServerState::gone;
-            v.link.total = (set_.use_weights ? entry.weight : 1) * set_.link_kb;
-            v.streams.total =
-                entry.kind < int(set_.max_streams_by_kind.size()) ? set_.max_streams_by_kind[entry.kind] : 0;
-            uplinks_[rack(v)].total = set_.rack_kb;
+            if (entry.last_start > server.entry.last_start)
+                mark_cold(server, std::max(server.cold_since, entry.last_start));
+            server.entry = entry;
+            server.listed = entry.state != ServerState::gone;
+            server.link.capacity = (cfg_.use_weights ? entry.weight : 1) * cfg_.link_kb;
+            server.streams.capacity =
+                entry.kind < int(cfg_.max_streams_by_kind.size()) ? cfg_.max_streams_by_kind[entry.kind] : 0;
+            uplinks_[rack_of(server)].capacity = cfg_.rack_kb;
         }
-        // The fleet has changed: what all its things can carry, and carry of ours, is summed anew.
-        ready_ = 0;
-        stream_pool_.total = stream_pool_.own = link_pool_.total = link_pool_.own = 0;
-        uplink_pool_.total = uplink_pool_.own = 0;
-        const auto pool = [](Account& a, Pool& p) { a.pool = &p, p.total += a.total, p.own += a.own; };
-        for (auto& [id, v] : servers_) {
-            v.streams.pool = v.link.pool = nullptr;
-            ready_ += v.listed && v.entry.state == ServerState::ready;
-            if (v.listed) pool(v.streams, stream_pool_), pool(v.link, link_pool_);
+        // The fleet has changed: its total capacity and our own load are summed again.
+        ready_servers_ = 0;
+        fleet_streams_.capacity = fleet_streams_.own_load = fleet_links_.capacity = fleet_links_.own_load = 0;
+        fleet_uplinks_.capacity = fleet_uplinks_.own_load = 0;
+        const auto add_to_fleet = [](ResourceLoad& load, FleetLoad& fleet) {
+            load.fleet = &fleet, fleet.capacity += load.capacity, fleet.own_load += load.own_load;
+        };
+        for (auto& [id, server] : servers_) {
+            server.streams.fleet = server.link.fleet = nullptr;
+            ready_servers_ += server.listed && server.entry.state == ServerState::ready;
+            if (server.listed)
+                add_to_fleet(server.streams, fleet_streams_), add_to_fleet(server.link, fleet_links_);
         }
-        for (auto& [rack, up] : uplinks_) pool(up, uplink_pool_);
+        for (auto& [rack, uplink] : uplinks_) add_to_fleet(uplink, fleet_uplinks_);
     }
 
-    Settings set_;
+    Settings cfg_;
     std::mt19937_64 random_;
-    Time now_ = 0, born_ = kNever, stalled_ = kNever, asked_ = kNever, next_alarm_ = kAlways;
-    std::vector<Action>* out_ = nullptr;
+    Time now_ = 0, started_at_ = kFarPast, stalled_at_ = kFarPast, list_fetched_at_ = kFarPast,
+         next_timer_ = kFarFuture;
+    std::vector<Action>* actions_ = nullptr;
     std::map<ServerId, Server> servers_;
-    std::map<int, Account> uplinks_;
-    Pool stream_pool_, link_pool_, uplink_pool_;
+    std::map<int, ResourceLoad> uplinks_;
+    FleetLoad fleet_streams_, fleet_links_, fleet_uplinks_;
     std::map<SessionId, Session> sessions_;
-    std::set<SessionId> held_, changed_;
-    std::set<ServerId> mine_;  // servers with sessions of ours
-    std::map<std::pair<TitleId, int>, int> seats_;
-    std::set<TitleId> titles_;                 // that have played
-    std::map<int, std::deque<Time>> tenants_;  // sessions taken within the share
-    std::deque<std::pair<Time, std::uint64_t>> viewers_;
-    std::map<std::uint64_t, bool> verdicts_;
-    std::deque<Time> requests_, repeats_;  // for the budget of further attempts
-    double hint_sum_ = 0, hints_ = 0, arrivals_ = 0;
-    Time arrived_ = 0;
-    std::size_t ready_ = 0;  // servers that sessions may be sent to
-    bool adopting_ = false;
+    std::set<SessionId> queued_, changed_rungs_;
+    std::set<ServerId> servers_in_use_;  // servers with own sessions
+    std::map<std::pair<TitleId, int>, int> seats_taken_;
+    std::set<TitleId> played_titles_;
+    std::map<int, std::deque<Time>> tenant_requests_;  // requests within the share, by tenant
+    std::deque<std::pair<Time, std::uint64_t>> recent_viewers_;
+    std::map<std::uint64_t, bool> over_share_;
+    std::deque<Time> requests_, retries_;  // for the retry budget
+    double hint_sum_ = 0, hint_count_ = 0, arrival_count_ = 0;
+    Time last_arrival_ = 0;
+    std::size_t ready_servers_ = 0;  // number of servers listed as ready
+    bool has_adopted_ = false;
 };
 
 Director::Director(const Settings& settings, std::uint64_t seed) : rules_(new Rules(settings, seed)) {}
