--- a/include/ivyfield/director.hpp
+++ b/include/ivyfield/director.hpp
@@ -71,31 +71,31 @@
     bool list_on_request = false;                 // the server list comes only when it is asked for
     // Servers can be probed; attempts can be cancelled; link capacity depends on ServerEntry::weight.
     bool can_probe = false, can_cancel = false, use_weights = false;
-    int max_attempts = 0;        // per session
-    Time max_retry_after = 0;    // 0: viewers are not told when to come back
-    Time connect_timeout = 0;    // for connections to servers
-    Time answer_slack = 0;       // a request has to be answered this long after its deadline at the latest
-    Time drain_stop_within = 0;  // set-ups to a server stop this long after it is listed as draining or gone
-    Time max_list_poll_interval = 0;  // with list_on_request: the list has to be asked for this often
-    // Part of a warm server's set-up rate that a just started one can take; it rises to 1 in warmup_time.
-    double initial_warmth = 1;
-    Time warmup_time = 0;
-    // A cold server fails at more than this multiple of its set-up rate within overload_window; 0: never.
-    double overload_multiple = 0;
-    Time overload_window = 0;
+    int max_attempts = 0;      // per session
+    Time max_retry_after = 0;  // 0: viewers are not told when to come back
+    // Limit for connecting to a server; how long after its deadline a request must be answered at the latest.
+    Time connect_timeout = 0, answer_slack = 0;
+    // How long after a server is listed as draining or gone set-ups to it must have stopped; how often the
+    // list must be asked for where it comes on request.
+    Time drain_stop_within = 0, max_list_poll_interval = 0;
+    // A server that has just started takes initial_warmth of a warm server's set-up rate, rising to all of it
+    // in warmup_time. Until then it fails at more than overload_multiple times its rate within
+    // overload_window; overload_multiple 0: there is no such limit.
+    double initial_warmth = 1, overload_multiple = 0;
+    Time warmup_time = 0, overload_window = 0;
     std::optional<RetryBudgetSettings> retry_budget;
     int cells = 0, racks = 0;                 // number in the fleet; see ServerEntry::position
     std::vector<double> max_streams_by_kind;  // capacity in streams, by ServerEntry::kind
-    double fleet_kb = 0, rack_kb = 0;         // capacity of the fleet and of the uplink of one rack
-    double link_kb = 0;                       // capacity of the link of a server of weight 1
+    // Capacity of the fleet, of one rack's uplink, and of the link of a server of weight 1.
+    double fleet_kb = 0, rack_kb = 0, link_kb = 0;
     double full_utilization = 0;  // link utilization from which servers answer "full"; 0: they never do
     double join_rate_factor = 1;  // part of its rate that a further viewer of a live title adds
     std::vector<double> rung_kb, rung_worth;  // the ladder: rate and worth of each rung
     double shortfall_penalty = 0;             // points of worth lost for each point of rate missing
-    Time note_delay = 0;                      // a session note describes the state this long ago
-    Time link_note_interval = 0;              // time between the link notes of a session
-    double switch_cost_s = 0;                 // a change of rung costs so many seconds of worth
-    double over_share_worth = 1;              // factor on the worth of requests beyond their tenant's share
+    // Age of the state that a session note describes; time between the link notes of a session.
+    Time note_delay = 0, link_note_interval = 0;
+    double switch_cost_s = 0;     // a change of rung costs so many seconds of worth
+    double over_share_worth = 1;  // factor on the worth of requests beyond their tenant's share
     double cross_zone_price = 0, probe_price = 0, move_price = 0;
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
@@ -134,9 +134,9 @@
     TitleId title = 0;
     Time deadline = 0;
     std::optional<Time> length_hint;  // expected time of play
-    // The servers of cell_count cells, from first_cell on and cyclically, hold the title.
-    int first_cell = 0, cell_count = 0;
-    int top_rung = 0;                       // highest rung that the viewer can play
+    // The servers of cell_count cells, from first_cell on and cyclically, hold the title; top_rung is the
+    // highest rung that the viewer can play.
+    int first_cell = 0, cell_count = 0, top_rung = 0;
     bool moved = false, returning = false;  // comes after a move; was requested before
 };
 // A session that already plays at a server and counts for this director from now on.
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -111,7 +111,7 @@
 // sessions say a little more, and a report of any server counts.
 struct FleetLoad {
     int directors = 1;
-    double capacity = 0, own_load = 0, correction = 0, weight = 0;
+    double capacity = 0, own_load = 0, correction = 0, reports = 0;
     Time last_report = 0;
 
     double decay(Time now) const { return std::exp((last_report - now) / kFleetMemory); }
@@ -119,11 +119,12 @@
     // Reports correct the extrapolation; between them it follows our own load, so that a surge shows at once.
     void add_report(Time now, double utilization) {
         const double remaining = decay(now);
-        correction = correction * remaining + utilization - extrapolation(), weight = weight * remaining + 1;
+        correction = correction * remaining + utilization - extrapolation(),
+        reports = reports * remaining + 1;
         last_report = now;
     }
     double utilization(Time now) const {
-        return std::max(0.0, extrapolation() + correction * decay(now) / (weight * decay(now) + 1));
+        return std::max(0.0, extrapolation() + correction * decay(now) / (reports * decay(now) + 1));
     }
 };
 
@@ -285,8 +286,8 @@
             streams -= is_further ? 0 : 1;
         }
         if (std::abs(kb) > 1e-6 || std::abs(streams) > 1e-6)
-            throw std::logic_error("load of own sessions at a server differs from the sum over them by " +
-                                   std::to_string(kb) + " kB/s and " + std::to_string(streams) + " streams");
+            throw std::logic_error("a server's count of sessions is off by " + std::to_string(kb) +
+                                   " kB a second and " + std::to_string(streams) + " streams");
     }
 #endif
     // Updates own load of a server and of its uplink. Viewers of one live title, class and rung share a
@@ -532,14 +533,14 @@
             Time soonest = kFarFuture;
             for (auto& [server_id, server] : servers_) {
                 if (!is_eligible(server, session, strict)) continue;
-                const Time cold_from = next_cold_setup(server);
-                if (const int rung = joinable_rung(server, session); rung > join_rung && cold_from <= now_)
+                const Time cold_opening = next_cold_setup(server);
+                if (const int rung = joinable_rung(server, session); rung > join_rung && cold_opening <= now_)
                     join_server = &server, join_rung = rung;
                 if (server.streams.capacity > 0 && server.streams.utilization(now_) >= 1) continue;
-                const Time opening = std::max(next_grant_time(server), cold_from);
+                const Time opening = std::max(next_grant_time(server), cold_opening);
                 soonest = std::min(soonest, opening);
                 const double score = score_server(server, session);
-                if (cold_from <= now_ && (!unpaced || score > unpaced_score))
+                if (cold_opening <= now_ && (!unpaced || score > unpaced_score))
                     unpaced = &server, unpaced_score = score;
                 if (opening <= now_ && (!best || score > best_score)) best = &server, best_score = score;
             }
@@ -640,12 +641,12 @@
         }
         const double room = headroom(server);
         const Time age = std::clamp(now_ - server.link.last_report, kMinReportAge, kFreshAge);
-        const double share = kHeadroomShare / (1 + arrival_rate() * age * cfg_.directors /
-                                                       std::max<std::size_t>(1, ready_servers_));
+        const double room_share = kHeadroomShare / (1 + arrival_rate() * age * cfg_.directors /
+                                                            std::max<std::size_t>(1, ready_servers_));
         int rung = -1;
         for (int r = class_of(session).min_rung;
              r <= max_rung(session) &&
-             rate(session, r) * first_share(session) <= room * (r > best ? share : 1);
+             rate(session, r) * first_share(session) <= room * (r > best ? room_share : 1);
              ++r)
             rung = r;
         return rung;
@@ -670,19 +671,19 @@
             RungStep step{{}, session.rung + direction, 0, 0};
             double worth = 0;
             bool allowed = true;
-            for (const SessionId member :
+            for (const SessionId peer_id :
                  shares_stream(session) ? server.sessions : std::set<SessionId>{id}) {
-                const Session& viewer = sessions_.at(member);
-                if (viewer.abandoned) continue;
-                if (viewer.request.title != session.request.title ||
-                    viewer.request.cls != session.request.cls || viewer.rung != session.rung)
+                const Session& peer = sessions_.at(peer_id);
+                if (peer.abandoned) continue;
+                if (peer.request.title != session.request.title || peer.request.cls != session.request.cls ||
+                    peer.rung != session.rung)
                     continue;
-                allowed = allowed && viewer.state != Session::State::queued &&
-                          step.rung >= class_of(viewer).min_rung && step.rung <= max_rung(viewer) &&
-                          (direction < 0 || now_ - viewer.last_step_up >= kMinStepUpInterval ||
-                           now_ == viewer.last_step_up);
-                worth += viewer.worth;
-                step.sessions.push_back(member);
+                allowed = allowed && peer.state != Session::State::queued &&
+                          step.rung >= class_of(peer).min_rung && step.rung <= max_rung(peer) &&
+                          (direction < 0 || now_ - peer.last_step_up >= kMinStepUpInterval ||
+                           now_ == peer.last_step_up);
+                worth += peer.worth;
+                step.sessions.push_back(peer_id);
             }
             if (!allowed || step.sessions.empty()) continue;
             const double kb_change = std::abs(rate(session, step.rung) - rate(session, session.rung));
@@ -843,15 +844,15 @@
             over_share_.erase(recent_viewers_.front().second);
             recent_viewers_.pop_front();
         }
-        const auto [entry, is_new] = over_share_.try_emplace(request.viewer, false);
-        if (!is_new) return entry->second;
+        const auto [it, is_new] = over_share_.try_emplace(request.viewer, false);
+        if (!is_new) return it->second;
         recent_viewers_.emplace_back(now_, request.viewer);
         auto& times = tenant_requests_[request.tenant];
         while (!times.empty() && times.front() < now_ - kQuotaWindow) times.pop_front();
         const double quota = cfg_.tenants[request.tenant].quota_per_s * kQuotaWindow / 1000 / cfg_.directors;
-        entry->second = times.size() >= kOverShareFactor * quota + 2;
-        if (!entry->second) times.push_back(now_);
-        return entry->second;
+        it->second = times.size() >= kOverShareFactor * quota + 2;
+        if (!it->second) times.push_back(now_);
+        return it->second;
     }
 
     void handle_event(const SessionAdopted& event) {
