--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -151,8 +151,8 @@
 
 // ---- Requests ----
 
-// The key under which requests join one session. Fields are separated by a byte that a sid cannot contain, so
-// that different requests never share a key.
+// The key under which requests join one session. Fields are separated by a byte that a sid cannot contain,
+// so that different requests never share a key.
 std::string Engine::make_request_key(const ViewerRequest& request) const {
     if (request.preassigned_id) return std::to_string(*request.preassigned_id);
     return request.sid + '\n' + std::to_string(request.tenant) + '\n' + std::to_string(request.cls) + '\n' +
@@ -204,8 +204,8 @@
     return id;
 }
 
-void Engine::set_answer_deadline(Time last) {
-    answer_deadline_ = std::min(answer_deadline_, last);
+void Engine::set_answer_deadline(Time deadline) {
+    answer_deadline_ = std::min(answer_deadline_, deadline);
     for (const auto& [id, session] : sessions_) {
         if (session->record.answered || session->record.deadline <= answer_deadline_) continue;
         session->deadline_timer = loop_.at(answer_deadline_, [this, id = id] { handle_deadline(id); });
@@ -243,7 +243,7 @@
     record_history(session, "abandoned: the last waiting request was withdrawn");
     deliver_answer(session, Answer::abandoned);
     if (session.state == State::queued) finish_session(id, "player");
-    else session.state = State::abandoned;
+    else session.state = State::detached;
     abandon_session(id);
 }
 
@@ -252,15 +252,15 @@
     // Nobody waits for the set-up any more, so it is cancelled where a cancel is final at the node.
     if (!nodes_.is_cancel_final()) return;
     const auto still = sessions_.find(id);
-    if (still == sessions_.end() || still->second->state != State::abandoned) return;
+    if (still == sessions_.end() || still->second->state != State::detached) return;
     Session& session = *still->second;
     nodes_.cancel(session.record.attempt_records.back().server, id, session.attempt);
     handle_attempt_end(session, Outcome::cancelled, {}, false);
 }
 
 // The viewer's deadline passed before the decision module answered. This does not happen on a director that
-// keeps up with its load; it is counted as a missed deadline and answered as a failure, so that no connection
-// hangs.
+// keeps up with its load; it is counted as a missed deadline and answered as a failure, so that no
+// connection hangs.
 void Engine::handle_deadline(SessionId id) {
     Session& session = *sessions_.at(id);
     if (session.record.answered) return;
@@ -268,7 +268,7 @@
     record_history(session, "deadline passed without an answer");
     deliver_answer(session, Answer::failed);
     if (session.state == State::queued) finish_session(id, "director");
-    else session.state = State::abandoned;
+    else session.state = State::detached;
     abandon_session(id);
 }
 
@@ -297,11 +297,11 @@
     }
     const auto handlers = std::move(session.handlers);
     session.handlers.clear();
-    const Placement where{session.record.id, session.attempt, session.record.server, session.rung,
-                          session.media};
+    const Placement placement{session.record.id, session.attempt, session.record.server, session.rung,
+                              session.media};
     const Time retry_after = session.record.retry_after;
     for (AnswerHandler* handler : handlers) {
-        if (answer == Answer::established) handler->on_established(where);
+        if (answer == Answer::established) handler->on_established(placement);
         else if (answer == Answer::rejected) handler->on_rejected(retry_after);
         else if (answer == Answer::failed) handler->on_failed();
     }
@@ -422,8 +422,8 @@
     return true;
 }
 
-// The server list shows a start seconds late and misses a process that died and restarted between two polls;
-// the node itself reports it at once.
+// The server list shows a start seconds late and misses a process that died and restarted between two
+// polls; the node itself reports it at once.
 void Engine::on_node_incarnation(ServerId server, Time started) {
     const auto it = listed_servers_.find(server);
     if (it == listed_servers_.end() || it->second.state == ServerState::gone ||
@@ -444,7 +444,7 @@
 void Engine::handle_attempt_started(Session& session, const Media& media) {
     const SessionId id = session.record.id;
     const int attempt = session.attempt;
-    if (session.state != State::pending && session.state != State::abandoned)
+    if (session.state != State::pending && session.state != State::detached)
         throw_violation(session, "attempt started, but no attempt is pending");
     record_history(session, "attempt started");
     session.attempt_timer.stop();
@@ -477,8 +477,8 @@
     contain_violations([&] { handle_attempt_end(*it->second, outcome, {}, !nodes_.is_cancel_final()); });
 }
 
-// Has the decision module count the attempt on, under an id of its own, before it learns that the attempt is
-// over for its session: in between, the attempt's place would count as free.
+// Has the decision module count the attempt on, under an id of its own, before it learns that the attempt
+// is over for its session: in between, the attempt's place would count as free.
 void Engine::track_unreleased_attempt(const Session& session) {
     const UnreleasedAttempt unreleased{++last_id_,
                                        session.record.attempt_records.back().server,
@@ -536,9 +536,9 @@
     if (previous_state == State::established) {
         established_count_ -= 1;
         counts_.reset += outcome == Outcome::reset;
-        const bool by_client =
+        const bool ended_by_client =
             outcome == Outcome::cancelled && !session.terminated_by_viewer && !session.moving;
-        if (by_client && !session.record.reclaimed && session.record.answer == Answer::established &&
+        if (ended_by_client && !session.record.reclaimed && session.record.answer == Answer::established &&
             decide::can_have_crossed(loop_.now() - session.record.answered_at)) {
             session.record.end_crossed_answer = true;
             counts_.ends_crossing_answers += 1;
@@ -566,7 +566,8 @@
 
 // ---- Decision module ----
 
-// Events that arrive while another is being handled are queued, because the decision module is not reentrant.
+// Events that arrive while another is being handled are queued, because the decision module is
+// not reentrant.
 void Engine::dispatch_event(Event event) {
     pending_events_.push_back(std::move(event));
     if (dispatching_) return;
@@ -639,7 +640,7 @@
     Session& session = *it->second;
     deliver_answer(session, Answer::failed);
     if (session.attempt < 0) finish_session(action.id, "director");
-    else session.state = State::abandoned;
+    else session.state = State::detached;
 }
 
 void Engine::execute(const Cancel& action) {
@@ -648,9 +649,9 @@
         throw_violation(session, "cancel names an attempt that was never made");
     if (action.attempt != session.attempt) return;
     record_history(session, "attempt cancelled");
-    // Posted to the loop rather than called from here, and before the port can report the attempt as
-    // released.
-    if (session.state == State::pending || session.state == State::abandoned)
+    // Posted to the loop rather than called from here, and before the port can report the attempt
+    // as released.
+    if (session.state == State::pending || session.state == State::detached)
         loop_.post([this, id = action.id, attempt = action.attempt] {
             on_attempt_lost(id, attempt, Outcome::cancelled);
         });
@@ -684,6 +685,7 @@
 }
 
 void Engine::execute(const Probe& action) { nodes_.probe(action.server); }
+
 void Engine::execute(const SetAlarm& action) {
     const std::uint64_t id = ++last_alarm_id_;
     alarms_[id] = loop_.at(action.at, [this, id, mark = action.mark] {
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -6,17 +6,16 @@
 //   queued       not answered yet, no attempt pending
 //   pending      not answered yet, one attempt pending
 //   established  answered; its attempt plays
-//   abandoned    nobody waits any more (all requests withdrawn, or answered with a failure), its attempt is
-//   still
+//   detached     answered without being established (its requests withdrawn, or failed), its attempt is still
 //                pending
 //
 // An attempt that ended without proof that the node holds nothing of it is unreleased: the decision module
 // goes on counting it under an id of its own, as an adopted session that nobody waits for, until the node
 // port reports it released. So no seat, stream or link capacity is assigned twice on an assumption.
 //
-// A violated invariant (an action for a session that does not exist, a second attempt while one is pending, a
-// second answer, a paid set-up repeated without proof that it never ran) throws InvariantViolation with the
-// session's history. In production it fails that session alone, which is counted and reported with its
+// A violated invariant (an action for a session that does not exist, a second attempt while one is pending,
+// a second answer, a paid set-up repeated without proof that it never ran) throws InvariantViolation with
+// the session's history. In production it fails that session alone, which is counted and reported with its
 // history; in a build with IVYFIELD_CHECKS it reaches the caller.
 #pragma once
 
@@ -64,6 +63,7 @@
     SessionId id = 0;
     ViewerRequest request;
     Answer answer = Answer::abandoned;
+    // returning: its viewer had a session here before; moved: and was told to leave that one's node.
     bool answered = false, returning = false, moved = false;
     // Its client ended it at the node while this director's answer was on its way.
     bool end_crossed_answer = false;
@@ -85,6 +85,7 @@
     std::uint64_t invariant_violations = 0;   // each fails its session
 };
 
+// Bounds on what the engine remembers, and how it treats violations.
 struct EngineLimits {
     std::size_t max_remembered_sids = 100000;     // ended sessions kept to recognize returning viewers
     Time sid_retention = 10 * 60 * 1000;          // how long each is kept, ms
@@ -102,9 +103,11 @@
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    std::function<void(const SessionRecord&)>
-        on_session_record;                                    // called once for each session, when it ends
-    std::function<void(const std::string&)> on_director_log;  // log lines of the decision module
+    // Called once for each session, when it ends.
+    std::function<void(const SessionRecord&)> on_session_record;
+
+    // Called with each log line of the decision module.
+    std::function<void(const std::string&)> on_director_log;
 
     // Called with a violated invariant and its session's history; the session is failed next.
     std::function<void(const std::string&)> on_invariant_violation;
@@ -114,8 +117,8 @@
     std::function<void(SessionId, bool notify_viewer, bool moved)> on_session_terminated;
 
     // Requests a session. The handler is called once with the answer, possibly within this call, unless the
-    // request is withdrawn first. A request with the same sid for the same title joins the existing session:
-    // there is no second set-up, and it gets the same answer.
+    // request is withdrawn first. A request with the same sid for the same title joins the existing
+    // session: there is no second set-up, and it gets the same answer.
     SessionId open_session(const ViewerRequest& request, AnswerHandler* handler);
     // Withdraws a request whose connection is gone; its handler is not called any more.
     void withdraw_request(SessionId id, AnswerHandler* handler);
@@ -125,7 +128,7 @@
     bool terminate_by_viewer(SessionId id);
     bool has_session(SessionId id) const { return sessions_.count(id) != 0; }
     // For graceful shutdown: every unanswered session, open now or later, is answered by that time.
-    void set_answer_deadline(Time last);
+    void set_answer_deadline(Time deadline);
     // Number of sessions that are not answered yet.
     std::size_t unanswered_sessions() const { return unanswered_count_; }
     // Forwards a server list, or changes to it, to the decision module.
@@ -149,7 +152,7 @@
     std::size_t unreleased_attempts() const { return unreleased_attempts_.size(); }
 
   private:
-    enum class State { queued, pending, established, abandoned };
+    enum class State { queued, pending, established, detached };
     struct Session;
     // An unreleased attempt, as the decision module counts it: its substitute session id, server and seat.
     struct UnreleasedAttempt {
--- a/src/core/outcomes.hpp
+++ b/src/core/outcomes.hpp
@@ -1,5 +1,5 @@
-// What each outcome of an attempt proves about it, the same for every module (the bench's WIRE, "Outcome
-// codes").
+// What each outcome of an attempt proves about it, the same for every module (the bench's WIRE,
+// "Outcome codes").
 //
 //   ended          it played and is over             it ran
 //   error          the node answered with an error   it may have run
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -11,8 +11,8 @@
 
 namespace ivyfield::core {
 
-// A viewer's request for a session. Class and tenant are indices into Settings; their names are carried along
-// for nodes and logs only.
+// A viewer's request for a session. Class and tenant are indices into Settings; their names are carried
+// along for nodes and logs only.
 struct ViewerRequest {
     std::string cls_name;
     std::string sid;  // the player's own id of its session, the same on all its retries
@@ -20,8 +20,9 @@
     int cls = 0, tenant = 0;
     TitleId title = 0;
     int first_cell = 0, cell_count = 0, top_rung = 0;
-    // Set in protocols where clients number sessions: each request is then a session of its own with this id,
-    // and itself states the viewer, the deadline and whether the viewer returns (the next three members).
+    // Set in protocols where clients number sessions: each request is then a session of its own with
+    // this id, and itself states the viewer, the deadline and whether the viewer returns (the next
+    // three members).
     std::optional<SessionId> preassigned_id;
     std::uint64_t viewer = 0;
     Time deadline = 0;
@@ -114,8 +115,8 @@
     // The attempt has ended and the node holds nothing of it.
     virtual void on_attempt_ended(SessionId session, int attempt, Outcome outcome,
                                   const LoadReport& report) = 0;
-    // The attempt is over for its session, but the node may still hold it; on_attempt_released() follows,
-    // once.
+    // The attempt is over for its session, but the node may still hold it; on_attempt_released()
+    // follows, once.
     virtual void on_attempt_lost(SessionId session, int attempt, Outcome outcome) = 0;
     // An attempt that was lost or cancelled is known to be over at the node.
     virtual void on_attempt_released(SessionId session, int attempt) = 0;
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -4,8 +4,8 @@
 
 namespace ivyfield::decide {
 
-// A connection with a pending set-up is never evicted, because the set-up would be lost. Of the others, those
-// that have carried no set-up go first, and of these the least recently used.
+// A connection with a pending set-up is never evicted, because the set-up would be lost. Of the others,
+// those that have carried no set-up go first, and of these the least recently used.
 std::optional<std::size_t> select_eviction(const std::vector<ConnectionLoad>& connections) {
     std::optional<std::size_t> victim;
     for (std::size_t i = 0; i < connections.size(); ++i) {
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -1,6 +1,6 @@
 // Admission control for viewers' requests when there are more than a director can hold: which connection is
-// evicted for a new one, and whether a usable set-up is admitted at all. What is rejected here has reached no
-// media node. No I/O, no clock.
+// evicted for a new one, and whether a usable set-up is admitted at all. What is rejected here has reached
+// no media node. No I/O, no clock.
 #pragma once
 
 #include <optional>
--- a/src/decide/failure_detector.cpp
+++ b/src/decide/failure_detector.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// A node that has sent nothing for kSilenceLimit is dialled. Together with the dials below, each of which may
-// take as long as the settings allow for connecting, a loss is reported well within the 8 s that viewers
-// allow.
+// A node that has sent nothing for kSilenceLimit is dialled. Together with the dials below, each of which
+// may take as long as the settings allow for connecting, a loss is reported well within the 8 s that
+// viewers allow.
 constexpr Time kSilenceLimit = 2000, kCheckInterval = 500;
 // After this many consecutive failed dials the machine is considered gone.
 constexpr int kMaxDialFailures = 3;
--- a/src/decide/failure_detector.hpp
+++ b/src/decide/failure_detector.hpp
@@ -1,6 +1,6 @@
-// Failure detector for a media node's machine, based on connections alone: health probes cost money, dials do
-// not. A process that only hangs still has its connections accepted by its operating system and is not taken
-// for a vanished machine. One detector per node; no I/O, no clock.
+// Failure detector for a media node's machine, based on connections alone: health probes cost money, dials
+// do not. A process that only hangs still has its connections accepted by its operating system and is not
+// taken for a vanished machine. One detector per node; no I/O, no clock.
 #pragma once
 
 #include "ivyfield/director.hpp"
@@ -12,8 +12,8 @@
   public:
     // Bytes arrived, or a connection was established.
     void record_activity(Time now);
-    // A dial that started at `started` has failed. `refused`: the machine answered, but no process listens on
-    // the port. True: the node is gone, and so are all its sessions.
+    // A dial that started at `started` has failed. `refused`: the machine answered, but no process listens
+    // on the port. True: the node is gone, and so are all its sessions.
     bool record_dial_failure(Time started, Time now, bool refused);
     // When to check again whether a node with sessions must be dialled, and whether it must be dialled now.
     Time next_check_at(Time now) const;
--- a/src/decide/reclaim.hpp
+++ b/src/decide/reclaim.hpp
@@ -1,7 +1,7 @@
 // Decides whether a director reclaims a session that a node plays for an earlier incarnation of it. A pure
 // function of the settings and of what is known: no I/O, no clock. A session that is not reclaimed is ended
-// at its node: it would occupy seats and link capacity that nobody counts, and its viewer is better served by
-// a session that a director keeps.
+// at its node: it would occupy seats and link capacity that nobody counts, and its viewer is better served
+// by a session that a director keeps.
 #pragma once
 
 #include "ivyfield/director.hpp"
@@ -14,10 +14,11 @@
     int rung = 0;
     bool superseded = false;             // its viewer has asked again and has another session here
     bool from_this_incarnation = false;  // this incarnation set it up and has given it up
-    int held_sessions =
-        0;  // sessions of its title and class that this director holds, pending set-ups included
+    // Sessions of its title and class that this director holds, pending set-ups included.
+    int held_sessions = 0;
 };
 
+// Whether the session is reclaimed, or why not.
 enum class ReclaimVerdict {
     reclaim,
     unknown_class,
@@ -27,7 +28,7 @@
     superseded,
     no_free_seat
 };
-const char* name(ReclaimVerdict verdict);
+const char* name(ReclaimVerdict verdict);  // in words
 
 // Returns `reclaim`, or the first reason against it.
 ReclaimVerdict evaluate_reclaim(const Settings& settings, const ReclaimCandidate& candidate);
--- a/src/decide/session_end.cpp
+++ b/src/decide/session_end.cpp
@@ -12,16 +12,16 @@
 
 }  // namespace
 
-// The outcome "cancelled" is a node's report that the viewer ended the session, so the viewer knows. (If the
-// viewer left before our answer reached it, no notification counts either: five approaches were
-// tried, see docs/results/fleet.md.)
+// The outcome "cancelled" is a node's report that the viewer ended the session, so the viewer knows. (If
+// the viewer left before our answer reached it, no notification counts either: five approaches were tried,
+// see docs/results/fleet.md.)
 bool must_notify_viewer(const SessionEnd& end) {
     return end.reported_established && !end.terminated_by_viewer && !end.moved &&
            end.outcome != Outcome::cancelled;
 }
 
-bool can_carry_end_notice(bool has_carried_setup, bool has_passed_test, Time waited) {
-    return has_carried_setup || (has_passed_test && waited >= kPreferredOnlyFor);
+bool can_carry_end_notice(bool has_carried_setup, bool has_answered_ping, Time waited) {
+    return has_carried_setup || (has_answered_ping && waited >= kPreferredOnlyFor);
 }
 
 bool can_have_crossed(Time elapsed) { return elapsed <= kCrossingWindow; }
--- a/src/decide/session_end.hpp
+++ b/src/decide/session_end.hpp
@@ -1,4 +1,4 @@
-// Decides who is told when a session ends, and which messages may have crossed on the way. No I/O, no clock.
+// Decides who is told when a session ends and which messages may have crossed. No I/O, no clock.
 #pragma once
 
 #include "ivyfield/director.hpp"
@@ -16,12 +16,12 @@
 bool must_notify_viewer(const SessionEnd& end);
 
 // Whether the end of a session may be reported on a client connection other than its own: on one that has
-// carried a set-up or, once the report has waited for a while, on one that has passed a test. A connection on
-// which nothing has been received has nobody to notify.
-bool can_carry_end_notice(bool has_carried_setup, bool has_passed_test, Time waited);
+// carried a set-up or, once the report has waited for a while, on one that has answered a ping. A
+// connection on which nothing has been received has nobody to notify.
+bool can_carry_end_notice(bool has_carried_setup, bool has_answered_ping, Time waited);
 
-// Whether what we sent `elapsed` ms ago may have crossed a message or a close that the other side sent before
-// it received it.
+// Whether what we sent `elapsed` ms ago may have crossed a message or a close that the other side sent
+// before it received it.
 bool can_have_crossed(Time elapsed);
 // The earliest time at which an end may be reported on another connection than the one that carried its
 // answer at `answered`: sooner, the client might read the end before the answer.
--- a/src/decide/shutdown.cpp
+++ b/src/decide/shutdown.cpp
@@ -12,8 +12,8 @@
 // PROTOCOL, "Viewers to directors": a message that crosses a close within this time is sent again. Answers
 // sent this long before the kill arrive.
 constexpr Time kCrossingWindow = 50;
-// Time to wait after the last message from clients: by then, whatever crossed a close has been sent again on
-// a new connection.
+// Time to wait after the last message from clients: by then, whatever crossed a close has been sent again
+// on a new connection.
 constexpr Time kQuietPeriod = 2 * kCrossingWindow;
 
 }  // namespace
--- a/src/decide/shutdown.hpp
+++ b/src/decide/shutdown.hpp
@@ -1,12 +1,12 @@
 // Graceful shutdown of a director (SIGTERM): until when it admits set-ups, by when it must have answered
-// those it admitted, which client connections it closes, and when the process exits. The times come from the
-// platform's protocol: the kill comes no earlier than the longest deadline (of which at most 3 s count) plus
-// 0.7 s, and requests still arrive for 0.7 s.
+// those it admitted, which client connections it closes, and when the process exits. The times come from
+// the platform's protocol: the kill comes no earlier than the longest deadline (of which at most 3 s count)
+// plus 0.7 s, and requests still arrive for 0.7 s.
 //
 // Closing a connection is not the end of the process: each connection is closed once nothing is pending on
-// it, the listener stays open for requests that cross such a close and are sent again, and the process exits
-// when every connection is closed by both sides and no more arrive. The hard deadline before the kill is the
-// last resort. No I/O, no clock.
+// it, the listener stays open for requests that cross such a close and are sent again, and the process
+// exits when every connection is closed by both sides and no more arrive. The hard deadline before the kill
+// is the last resort. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 struct FakeNodes : NodePort {
-    std::vector<SetupRequest> set_ups;
+    std::vector<SetupRequest> setups;
     std::vector<std::pair<SessionId, int>> rungs, moves, cancels;
     std::vector<ServerId> probes;
-    void set_up(const SetupRequest& setup) override { set_ups.push_back(setup); }
+    void set_up(const SetupRequest& setup) override { setups.push_back(setup); }
     void set_rung(ServerId, SessionId session, int, int rung) override { rungs.emplace_back(session, rung); }
     void move(ServerId, SessionId session, int attempt) override { moves.emplace_back(session, attempt); }
     std::function<void(SessionId, int)> on_cancel;
@@ -89,8 +89,8 @@
 TEST_F(EngineTest, ASessionIsEstablishedAndEnds) {
     FakeAnswerHandler handler;
     const SessionId id = engine->open_session(make_request("a", 0), &handler);
-    ASSERT_EQ(nodes.set_ups.size(), 1u);
-    EXPECT_TRUE(nodes.set_ups[0].paid);
+    ASSERT_EQ(nodes.setups.size(), 1u);
+    EXPECT_TRUE(nodes.setups[0].paid);
     engine->on_attempt_started(id, 0, {"http://n/m/", {}});
     ASSERT_EQ(handler.answers, std::vector<Answer>{Answer::established});
     EXPECT_EQ(handler.placement.media.url, "http://n/m/");
@@ -107,14 +107,14 @@
     FakeAnswerHandler first, second, third;
     const SessionId id = engine->open_session(make_request("a", 0), &first);
     EXPECT_EQ(engine->open_session(make_request("a", 0), &second), id);
-    EXPECT_EQ(nodes.set_ups.size(), 1u);
+    EXPECT_EQ(nodes.setups.size(), 1u);
     engine->on_attempt_started(id, 0, {"http://n/m/", {}});
     EXPECT_EQ(first.answers.size(), 1u);
     EXPECT_EQ(second.answers.size(), 1u);
     engine->open_session(make_request("a", 0), &third);
     EXPECT_EQ(third.answers, std::vector<Answer>{Answer::established});
     EXPECT_EQ(third.placement.media.url, "http://n/m/");
-    EXPECT_EQ(nodes.set_ups.size(), 1u);
+    EXPECT_EQ(nodes.setups.size(), 1u);
     EXPECT_EQ(engine->counts().accepted, 1u);
 }
 
@@ -125,7 +125,7 @@
     engine->open_session(make_request("a", 0), &first);
     engine->open_session(make_request("b", 0), &second);
     engine->open_session(other, &third);
-    EXPECT_EQ(nodes.set_ups.size(), 3u);
+    EXPECT_EQ(nodes.setups.size(), 3u);
 }
 
 TEST_F(EngineTest, APaidSetUpIsRepeatedOnlyWithProofThatItNeverRan) {
@@ -133,15 +133,14 @@
                                   Outcome::cancelled, Outcome::not_sent}) {
         SCOPED_TRACE(name(outcome));
         FakeAnswerHandler handler;
-        nodes.set_ups.clear();
+        nodes.setups.clear();
         const SessionId id = engine->open_session(make_request(name(outcome), 0), &handler);
-        ASSERT_EQ(nodes.set_ups.size(), 1u);
+        ASSERT_EQ(nodes.setups.size(), 1u);
         engine->on_attempt_ended(id, 0, outcome, {});
         if (proves_never_ran(outcome)) {
-            EXPECT_TRUE(nodes.set_ups.size() == 2 ||
-                        handler.answers == std::vector<Answer>{Answer::rejected});
+            EXPECT_TRUE(nodes.setups.size() == 2 || handler.answers == std::vector<Answer>{Answer::rejected});
         } else {
-            EXPECT_EQ(nodes.set_ups.size(), 1u) << "sent again, though it may have run";
+            EXPECT_EQ(nodes.setups.size(), 1u) << "sent again, though it may have run";
             EXPECT_EQ(handler.answers, std::vector<Answer>{Answer::failed});
         }
         world.run_until(world.now() + 20000);
@@ -154,7 +153,7 @@
     engine->open_session(make_request("a", 0), &handler);
     world.run_until(5040);
     EXPECT_EQ(handler.answers, std::vector<Answer>{Answer::failed});
-    EXPECT_EQ(nodes.set_ups.size(), 1u);
+    EXPECT_EQ(nodes.setups.size(), 1u);
     EXPECT_EQ(nodes.cancels.size(), 1u);
     EXPECT_EQ(engine->open_sessions(), 0u);
     EXPECT_EQ(engine->counts().missed_deadlines, 0u);
@@ -164,7 +163,7 @@
     FakeAnswerHandler handler;
     const SessionId id = engine->open_session(make_request("a", 1), &handler);
     world.run_until(3000);  // the first attempt has timed out
-    const std::size_t sent = nodes.set_ups.size();
+    const std::size_t sent = nodes.setups.size();
     EXPECT_GE(sent, 2u);
     engine->on_attempt_started(id, 0, {"http://late/", {}});
     engine->on_attempt_ended(id, 0, Outcome::error, {});
@@ -177,9 +176,9 @@
     FakeAnswerHandler handler;
     engine->open_session(make_request("a", 1), &handler);
     world.run_until(10000);
-    for (std::size_t k = 1; k < nodes.set_ups.size(); ++k)
+    for (std::size_t k = 1; k < nodes.setups.size(); ++k)
         EXPECT_GE(nodes.cancels.size(), k) << "attempt " << k << " was sent before the last one ended";
-    EXPECT_LE(nodes.set_ups.size(), 4u);
+    EXPECT_LE(nodes.setups.size(), 4u);
     EXPECT_EQ(handler.answers.size(), 1u);
 }
 
@@ -225,7 +224,7 @@
     engine->on_attempt_released(id, 0);  // a second report is ignored
     EXPECT_EQ(engine->unreleased_attempts(), 0u);
     engine->open_session(make_request("c", 0), &third);
-    EXPECT_EQ(nodes.set_ups.size(), 2u);
+    EXPECT_EQ(nodes.setups.size(), 2u);
     EXPECT_TRUE(third.answers.empty());
 }
 
@@ -234,7 +233,7 @@
     engine->open_session(make_request("a", 1),
                          &handler);  // may be sent again; its first attempt gets no answer
     world.run_until(5030);
-    EXPECT_EQ(nodes.set_ups.size(), 1u);
+    EXPECT_EQ(nodes.setups.size(), 1u);
     EXPECT_EQ(handler.answers, std::vector<Answer>{Answer::rejected});
 }
 
@@ -324,8 +323,8 @@
         handlers.push_back(std::make_unique<FakeAnswerHandler>());
         engine->open_session(make_request("s" + std::to_string(k), static_cast<int>(random() % 2)),
                              handlers.back().get());
-        for (; scheduled < nodes.set_ups.size(); ++scheduled) {
-            const auto setup = nodes.set_ups[scheduled];
+        for (; scheduled < nodes.setups.size(); ++scheduled) {
+            const auto setup = nodes.setups[scheduled];
             const double delay = static_cast<double>(random() % 600);
             const unsigned kind = random() % 8;
             if (kind == 7) continue;  // no outcome at all
