--- a/src/cli/day_command.cpp
+++ b/src/cli/day_command.cpp
@@ -18,7 +18,7 @@
 class ProcessHost : public day::DirectorHost {
   public:
     ProcessHost(io::EvLoop& loop, std::string logs) : loop_(loop), logs_(std::move(logs)) {
-        folder_ = io::temporary_folder();
+        folder_ = io::create_temporary_folder();
     }
     ~ProcessHost() override {
         children_.clear();
@@ -34,7 +34,7 @@
         const std::string path = folder_ + "/" + name + ".json";
         io::write_file(path, doc.dump(2));
         children_[number] = std::make_unique<io::Child>(
-            std::vector<std::string>{io::own_program(), "serve", "--config", path},
+            std::vector<std::string>{io::executable_path(), "serve", "--config", path},
             logs_.empty() ? folder_ + "/" + name + ".out" : logs_ + "/" + name + ".out");
     }
     void kill(int number) override { children_.at(number)->kill(); }
--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -32,7 +32,7 @@
       nodes_(loop, config.name, config.settings,
              [&] {
                  nodes::LinkLimits limits;
-                 limits.client.per_address = config.node_connections;
+                 limits.client.max_connections_per_address = config.node_connections;
                  limits.connect_timeout = config.settings.connect_timeout;
                  limits.silent = config.node_silent_ms;
                  return limits;
--- a/src/cli/hints_command.cpp
+++ b/src/cli/hints_command.cpp
@@ -28,9 +28,9 @@
     for (const auto& [key, value] : keys.values) out[key] = to_json(value);
     return out;
 }
-json to_json(const std::vector<Dropped>& dropped) {
+json to_json(const std::vector<DroppedKey>& dropped) {
     json out = json::array();
-    for (const Dropped& d : dropped) out.push_back({{"key", d.key}, {"why", d.why}});
+    for (const DroppedKey& d : dropped) out.push_back({{"key", d.key}, {"why", d.reason}});
     return out;
 }
 // Payloads may hold any bytes; JSON may not.
@@ -71,7 +71,7 @@
             BareItem item = from_json(vocabulary, key, value);
             Keys alone;
             alone.values.emplace(key, item);
-            if (vocabulary == Vocabulary::cmsd_dynamic) encode_dynamic({{"x", alone}});
+            if (vocabulary == Vocabulary::cmsd_dynamic) encode_cmsd_dynamic({{"x", alone}});
             else encode_keys(vocabulary, alone);
             keys.values.emplace(key, std::move(item));
         } catch (const std::invalid_argument& e) {
@@ -90,13 +90,13 @@
         if (!line.empty() && line.back() == '\r') line.pop_back();
         json result;
         if (vocabulary == Vocabulary::cmsd_dynamic) {
-            const DecodedEntries decoded = decode_dynamic(line);
+            const DecodedCmsdEntries decoded = decode_cmsd_dynamic(line);
             result["entries"] = json::array();
-            for (const Entry& e : decoded.entries)
+            for (const CmsdEntry& e : decoded.entries)
                 result["entries"].push_back({{"name", e.name}, {"keys", to_json(e.keys)}});
             result["dropped"] = to_json(decoded.dropped);
         } else {
-            const Decoded decoded = decode_keys(vocabulary, line);
+            const DecodedKeys decoded = decode_keys(vocabulary, line);
             result = {{"keys", to_json(decoded.keys)}, {"dropped", to_json(decoded.dropped)}};
         }
         out << line_of(result) << "\n";
@@ -116,11 +116,11 @@
             const json from = json::parse(line);
             if (!from.is_object()) throw std::invalid_argument("not a JSON object");
             if (vocabulary == Vocabulary::cmsd_dynamic) {
-                std::vector<Entry> entries;
+                std::vector<CmsdEntry> entries;
                 for (const json& e : from.at("entries"))
                     entries.push_back(
                         {e.at("name").get<std::string>(), keys_from(vocabulary, e.at("keys"), faults)});
-                payload = encode_dynamic(entries);
+                payload = encode_cmsd_dynamic(entries);
             } else {
                 payload = encode_keys(vocabulary, keys_from(vocabulary, from.at("keys"), faults));
             }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -36,7 +36,7 @@
     for (const int number : {SIGINT, SIGTERM})
         loop.on_signal(number, [&] { director.stop([&] { loop.stop(); }); });
     loop.run();
-    io::block_further_signals();
+    io::block_termination_signals();
     return 0;
 }
 
@@ -70,7 +70,7 @@
     }
     ::signal(SIGPIPE, SIG_IGN);
     if (const std::size_t files = io::raise_file_limit()) config.sockets = std::min(config.sockets, files);
-    io::never_wait_for_log();
+    io::set_stderr_nonblocking();
     io::EvLoop loop(config.seed);
     // Before anybody can know that we run: a signal that nobody waits for ends the process.
     std::optional<cli::RelayProcess> director;
@@ -85,7 +85,7 @@
         loop.on_signal(number, [&] { director->stop([&] { loop.stop(); }); });
     director.emplace(loop, config, "-");
     loop.run();
-    io::block_further_signals();
+    io::block_termination_signals();
     return 0;
 }
 
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -126,7 +126,7 @@
       random_(seed),
       client_(loop, [] {
           http::ClientLimits limits;
-          limits.per_address = 4096;
+          limits.max_connections_per_address = 4096;
           return limits;
       }()) {
     report_.name = file_.name;
--- a/src/discovery/consul.cpp
+++ b/src/discovery/consul.cpp
@@ -106,7 +106,7 @@
 Consul::Consul(io::Loop& loop, const ConsulSettings& settings, Changed changed)
     : loop_(loop), settings_(settings), changed_(std::move(changed)), client_(loop, [&] {
           http::ClientLimits limits;
-          limits.parse.body = settings.body;
+          limits.parse.max_body_bytes = settings.body;
           return limits;
       }()) {
     ask();
@@ -143,7 +143,7 @@
         wait_ = std::clamp(wait_ * 2, settings_.retry, settings_.retry_most);
         again(wait_);
     };
-    if (result.end != http::CallEnd::response) return failed(http::name(result.end));
+    if (result.outcome != http::CallOutcome::response) return failed(http::name(result.outcome));
     const http::Response& r = result.response;
     if (r.status != 200) return failed("status " + std::to_string(r.status));
     const double last_contact = number(r.headers.get("X-Consul-LastContact").value_or("0")).value_or(0);
@@ -168,7 +168,7 @@
     else index_ = index;
     if (!same) changed_(parsed.instances);  // the same index: the wait ran out, nothing is new
     // A server that answers at once again and again must not make us spin.
-    again(result.waited < 50 ? 50 : 0);
+    again(result.elapsed < 50 ? 50 : 0);
 }
 
 }  // namespace ivyfield::discovery
--- a/src/discovery/srv/srv.cpp
+++ b/src/discovery/srv/srv.cpp
@@ -197,8 +197,8 @@
       events_(std::move(events)),
       polling_(loop.now()) {
     const char* any = server.host.find(':') == std::string::npos ? "0.0.0.0" : "::";
-    socket_ = loop.datagram({any, 0},
-                            [this](const io::Address& from, std::string_view bytes) { heard(from, bytes); });
+    socket_ = loop.open_datagram_socket(
+        {any, 0}, [this](const io::Address& from, std::string_view bytes) { heard(from, bytes); });
     next_ = loop_.after(0, [this] { ask(); });
 }
 
--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -74,7 +74,7 @@
     std::uint32_t serial_;
     std::string last_answer_;  // bytes of the newest list, without the id of its query; empty: none yet
     Events events_;
-    std::unique_ptr<io::Datagram> socket_;
+    std::unique_ptr<io::DatagramSocket> socket_;
     struct Query {
         std::uint16_t id;
         io::Time asked;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -32,7 +32,8 @@
     hints::CmcdSources sources;
     for (const auto carrier :
          {hints::Carrier::request, hints::Carrier::object, hints::Carrier::status, hints::Carrier::session})
-        sources.payload[static_cast<std::size_t>(carrier)] = request.headers.all(hints::header_name(carrier));
+        sources.payload[static_cast<std::size_t>(carrier)] =
+            request.headers.get_all(hints::header_name(carrier));
     sources.payload[static_cast<std::size_t>(hints::Carrier::query)] =
         http::query_argument(request.query(), "CMCD").value_or("");
     return sources;
@@ -68,7 +69,7 @@
     variant(rung);
     for (int r = settings.classes[static_cast<std::size_t>(cls)].floor; r <= top; ++r)
         if (r != rung) variant(r);
-    return hls::write_master(variants);
+    return hls::write_master_playlist(variants);
 }
 
 // One HTTP request that waits for its session's answer.
@@ -91,7 +92,7 @@
     }
     void send(http::Response response, const hints::Keys& keys) {
         response.headers.add("CMSD-Dynamic",
-                             hints::encode_dynamic({{"ivyfield-" + front.config_.name, keys}}));
+                             hints::encode_cmsd_dynamic({{"ivyfield-" + front.config_.name, keys}}));
         response.headers.add("Cache-Control", "no-store");
         http::allow_any_origin(response.headers, kExposed);
         exchange->respond(response);
@@ -117,13 +118,15 @@
     void refused(Time retry_after) override {
         hints::Keys keys = dynamic_keys();
         keys.values["du"] = true;
-        http::Response r = http::plain(503, "no room now");
+        http::Response r = http::text_response(503, "no room now");
         // Whole seconds (RFC 9110, 10.2.3), rounded up: sooner would be no better than now.
         r.headers.add("Retry-After",
                       std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
         send(std::move(r), keys);
     }
-    void failed() override { send(http::plain(504, "the session could not be set up"), dynamic_keys()); }
+    void failed() override {
+        send(http::text_response(504, "the session could not be set up"), dynamic_keys());
+    }
 };
 
 HttpFront::HttpFront(io::Loop& loop, const config::Config& config, core::Engine& engine)
@@ -134,9 +137,9 @@
           loop, config.listen,
           [&] {
               http::ServerLimits limits;
-              limits.connections = config.player_connections;
-              limits.idle = config.player_idle_ms;
-              limits.parse.body = 64 * 1024;
+              limits.max_connections = config.player_connections;
+              limits.idle_timeout = config.player_idle_ms;
+              limits.parse.max_body_bytes = 64 * 1024;
               return limits;
           }(),
           [this](const http::ExchangePtr& e) { serve(e); }) {}
@@ -157,7 +160,7 @@
     const auto parts = path_parts(request.path());
     const auto bad = [&](int code, const char* why) {
         counts_.bad += 1;
-        http::Response r = http::plain(code, why);
+        http::Response r = http::text_response(code, why);
         http::allow_any_origin(r.headers, kExposed);
         exchange->respond(r);
     };
@@ -168,7 +171,7 @@
         return bad(404, "nothing here; players ask /v1/watch/TENANT/CLASS/TITLE/master.m3u8");
     if (http::is_preflight(request)) {
         counts_.preflights += 1;
-        return exchange->respond(http::preflight_answer(kAllowed, kPreflightAge_s));
+        return exchange->respond(http::preflight_response(kAllowed, kPreflightAge_s));
     }
     if (request.method != "GET") return bad(405, "only GET");
     if (is_status) {
@@ -188,13 +191,13 @@
     ask.cls = index_of(s.classes, cls);
     if (ask.tenant < 0 || ask.cls < 0 || title.empty() || title.size() > kLongestTitle) {
         counts_.bad += 1;
-        http::Response r = http::plain(404, ask.tenant < 0 ? "no such tenant"
-                                            : ask.cls < 0  ? "no such class"
-                                                           : "no such title");
+        http::Response r = http::text_response(404, ask.tenant < 0 ? "no such tenant"
+                                                    : ask.cls < 0  ? "no such class"
+                                                                   : "no such title");
         http::allow_any_origin(r.headers, kExposed);
         return exchange->respond(r);
     }
-    const hints::Decoded cmcd = hints::decode_cmcd(cmcd_sources(exchange->request()));
+    const hints::DecodedKeys cmcd = hints::decode_cmcd(cmcd_sources(exchange->request()));
     counts_.hints_dropped += cmcd.dropped.size();
     ask.sid = cmcd.keys.text("sid").value_or("");
     if (ask.sid.empty()) ask.sid = make_sid();
@@ -213,7 +216,7 @@
     auto owned = std::make_unique<Pending>(*this, number, exchange, ask);
     Pending& pending = *owned;
     pending_.emplace(number, std::move(owned));
-    exchange->on_gone([this, number] {
+    exchange->on_disconnect([this, number] {
         const auto it = pending_.find(number);
         if (it == pending_.end() || it->second->done) return;
         counts_.gone += 1;
--- a/src/fronts/http/front.hpp
+++ b/src/fronts/http/front.hpp
@@ -33,7 +33,7 @@
     // Graceful shutdown, see http::Server.
     void drain() { server_.drain(); }
     void stop_listening() { server_.stop_listening(); }
-    std::size_t connections() const { return server_.open(); }
+    std::size_t connections() const { return server_.open_connections(); }
     const FrontCounts& counts() const { return counts_; }
     const http::ServerCounts& http_counts() const { return server_.counts(); }
     std::function<std::string()> status;  // the body of /v1/status
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -80,8 +80,8 @@
     void on_data(std::string_view bytes) override { owner.heard(*this, bytes); }
     // Viewers close as a whole: one that sends no more waits for nothing more.
     void on_end() override { owner.closed_by_client(*this, CloseReason::client_end); }
-    void on_drained() override {}
-    void on_closed(io::Closing) override { owner.closed_by_client(*this, CloseReason::client_reset); }
+    void on_flushed() override {}
+    void on_closed(io::CloseReason) override { owner.closed_by_client(*this, CloseReason::client_reset); }
 };
 
 struct RelayFront::Request : core::Waiter {
@@ -169,7 +169,7 @@
 // A request that has arrived is taken first; the connection stays then. What was written still leaves: a
 // stream that has been ended is not reset when it is destroyed.
 void RelayFront::evict(Connection& c) {
-    c.stream->receive_arrived();
+    c.stream->read_available();
     if (c.gone || !c.open.empty()) return;
     c.stream->end();
     counts_.shed += 1;
@@ -257,7 +257,7 @@
 }
 
 void RelayFront::end_idle(Connection& c) {
-    c.stream->receive_arrived();
+    c.stream->read_available();
     if (!c.gone && c.open.empty()) close(c, CloseReason::idle);
 }
 
@@ -285,7 +285,7 @@
         if (is_drained(*c)) drained.push_back(c.get());
     for (Connection* c : drained) {
         if (c->gone) continue;
-        c->stream->receive_arrived();  // a request in its buffer has not crossed our end: it is answered
+        c->stream->read_available();  // a request in its buffer has not crossed our end: it is answered
         if (is_drained(*c)) close(*c, CloseReason::drained);
     }
 }
--- a/src/hints/keys.cpp
+++ b/src/hints/keys.cpp
@@ -16,7 +16,7 @@
     Type type;
     Carrier carrier = Carrier::session;
     bool hundreds = false;  // rounded to the nearest hundred when sent
-    std::size_t longest = kLongestString;
+    std::size_t longest = kMaxStringLength;
     const char* tokens = nullptr;  // the ones defined, each between blanks
 };
 
@@ -29,7 +29,7 @@
     {"bl", Type::integer, Carrier::request, true},
     {"br", Type::integer, Carrier::object},
     {"bs", Type::flag, Carrier::status},
-    {"cid", Type::string, Carrier::session, false, kLongestId},
+    {"cid", Type::string, Carrier::session, false, kMaxIdLength},
     {"d", Type::integer, Carrier::object},
     {"dl", Type::integer, Carrier::request, true},
     {"mtp", Type::integer, Carrier::request, true},
@@ -39,7 +39,7 @@
     {"pr", Type::decimal, Carrier::session},
     {"rtp", Type::integer, Carrier::status, true},
     {"sf", Type::token, Carrier::session, false, 0, kFormats},
-    {"sid", Type::string, Carrier::session, false, kLongestId},
+    {"sid", Type::string, Carrier::session, false, kMaxIdLength},
     {"st", Type::token, Carrier::session, false, 0, kStreams},
     {"su", Type::flag, Carrier::request},
     {"tb", Type::integer, Carrier::object},
@@ -109,8 +109,8 @@
     if (std::holds_alternative<Bytes>(value)) return "a byte sequence is no type of these hints";
     if (!r) {
         if (key.find('-') == std::string::npos) return "not a reserved key, and a custom key has a hyphen";
-        if (const auto* s = std::get_if<std::string>(&value); s && s->size() > kLongestString)
-            return "longer than " + std::to_string(kLongestString) + " characters";
+        if (const auto* s = std::get_if<std::string>(&value); s && s->size() > kMaxStringLength)
+            return "longer than " + std::to_string(kMaxStringLength) + " characters";
         return {};
     }
     const auto* text = std::get_if<std::string>(&value);
@@ -154,7 +154,7 @@
 }
 
 // One decoded key: kept, or told why not.
-void keep(Vocabulary vocabulary, const std::string& key, BareItem value, Decoded& into) {
+void keep(Vocabulary vocabulary, const std::string& key, BareItem value, DecodedKeys& into) {
     std::string why = settle(vocabulary, key, value);
     const Reserved* r = reserved(vocabulary, key);
     if (why.empty() && r && r->type == Type::url) {
@@ -205,9 +205,9 @@
     return out;
 }
 
-bool too_long(std::string_view payload, std::vector<Dropped>& dropped) {
-    if (payload.size() <= kLongestPayload) return false;
-    dropped.push_back({"", "the payload is longer than " + std::to_string(kLongestPayload) + " bytes"});
+bool too_long(std::string_view payload, std::vector<DroppedKey>& dropped) {
+    if (payload.size() <= kMaxPayloadBytes) return false;
+    dropped.push_back({"", "the payload is longer than " + std::to_string(kMaxPayloadBytes) + " bytes"});
     return true;
 }
 
@@ -255,17 +255,17 @@
     return settle(vocabulary, key, copy);
 }
 
-Decoded decode_keys(Vocabulary vocabulary, std::string_view payload) {
-    Decoded out;
+DecodedKeys decode_keys(Vocabulary vocabulary, std::string_view payload) {
+    DecodedKeys out;
     if (too_long(payload, out.dropped)) return out;
     std::size_t seen = 0;
-    for (DictionaryPiece& piece : split_dictionary(payload)) {
-        if (++seen > kMostKeys) {
-            out.dropped.push_back({piece.key, "more than " + std::to_string(kMostKeys) + " keys"});
+    for (ParsedMember& piece : parse_dictionary_members(payload)) {
+        if (++seen > kMaxKeys) {
+            out.dropped.push_back({piece.key, "more than " + std::to_string(kMaxKeys) + " keys"});
             break;
         }
         if (!piece.member) {
-            out.dropped.push_back({piece.key, piece.why});
+            out.dropped.push_back({piece.key, piece.reason});
             continue;
         }
         Item* item = std::get_if<Item>(&*piece.member);
@@ -280,11 +280,11 @@
     return join(vocabulary, keys, ",", false);
 }
 
-Decoded decode_cmcd(const CmcdSources& sources) {
-    Decoded out;
+DecodedKeys decode_cmcd(const CmcdSources& sources) {
+    DecodedKeys out;
     std::map<std::string, int> contradictory;
     for (const std::string& payload : sources.payload) {
-        Decoded one = decode_keys(Vocabulary::cmcd, payload);
+        DecodedKeys one = decode_keys(Vocabulary::cmcd, payload);
         out.dropped.insert(out.dropped.end(), one.dropped.begin(), one.dropped.end());
         for (auto& [key, value] : one.keys.values) {
             const auto [it, fresh] = out.keys.values.try_emplace(key, value);
@@ -311,16 +311,16 @@
     return out;
 }
 
-DecodedEntries decode_dynamic(std::string_view payload) {
-    DecodedEntries out;
+DecodedCmsdEntries decode_cmsd_dynamic(std::string_view payload) {
+    DecodedCmsdEntries out;
     if (too_long(payload, out.dropped)) return out;
-    for (ListPiece& piece : split_list(payload)) {
-        if (out.entries.size() >= kMostKeys) {
-            out.dropped.push_back({"", "more than " + std::to_string(kMostKeys) + " entries"});
+    for (ParsedListItem& piece : parse_list_items(payload)) {
+        if (out.entries.size() >= kMaxKeys) {
+            out.dropped.push_back({"", "more than " + std::to_string(kMaxKeys) + " entries"});
             break;
         }
-        std::string why = piece.why;
-        Entry entry;
+        std::string why = piece.reason;
+        CmsdEntry entry;
         if (piece.value) {
             if (const auto* name = std::get_if<std::string>(&*piece.value)) entry.name = *name;
             else if (const auto* token = std::get_if<Token>(&*piece.value)) entry.name = token->text;
@@ -330,14 +330,14 @@
             out.dropped.push_back({piece.text, why});
             continue;
         }
-        Decoded keys;
-        for (ParameterPiece& p : piece.parameters) {
-            if (keys.keys.values.size() >= kMostKeys) {
-                out.dropped.push_back({p.key, "more than " + std::to_string(kMostKeys) + " keys"});
+        DecodedKeys keys;
+        for (ParsedParameter& p : piece.parameters) {
+            if (keys.keys.values.size() >= kMaxKeys) {
+                out.dropped.push_back({p.key, "more than " + std::to_string(kMaxKeys) + " keys"});
                 break;
             }
             if (p.value) keep(Vocabulary::cmsd_dynamic, p.key, std::move(*p.value), keys);
-            else keys.dropped.push_back({p.key, p.why});
+            else keys.dropped.push_back({p.key, p.reason});
         }
         out.dropped.insert(out.dropped.end(), keys.dropped.begin(), keys.dropped.end());
         entry.keys = std::move(keys.keys);
@@ -346,19 +346,19 @@
     return out;
 }
 
-std::string encode_dynamic(const std::vector<Entry>& entries) {
+std::string encode_cmsd_dynamic(const std::vector<CmsdEntry>& entries) {
     std::string out;
-    for (const Entry& entry : entries) {
+    for (const CmsdEntry& entry : entries) {
         if (entry.name.empty()) throw std::invalid_argument("an entry has no name");
         if (!out.empty()) out += ",";
         out += serialize(BareItem(entry.name)) + join(Vocabulary::cmsd_dynamic, entry.keys, ";", true);
     }
     return out;
 }
-std::string append_dynamic(std::string_view earlier, const Entry& ours) {
+std::string append_cmsd_dynamic(std::string_view earlier, const CmsdEntry& ours) {
     std::string out(earlier);
     if (!out.empty()) out += ", ";
-    return out += encode_dynamic({ours});
+    return out += encode_cmsd_dynamic({ours});
 }
 
 }  // namespace ivyfield::hints
--- a/src/hints/keys.hpp
+++ b/src/hints/keys.hpp
@@ -21,8 +21,8 @@
 enum class Carrier { request, object, status, session, query };
 const char* header_name(Carrier carrier);  // "CMCD-Request"; the query argument's name is "CMCD"
 
-struct Dropped {
-    std::string key, why;
+struct DroppedKey {
+    std::string key, reason;
 };
 
 class Keys {
@@ -35,17 +35,17 @@
     bool flag(const std::string& key) const;                        // false when absent
 };
 
-struct Decoded {
+struct DecodedKeys {
     Keys keys;
-    std::vector<Dropped> dropped;
+    std::vector<DroppedKey> dropped;
 };
 
 // Longest payload that is looked at, and most keys of it: what is beyond is dropped as a whole.
-constexpr std::size_t kLongestPayload = 8192, kMostKeys = 64, kLongestString = 1024;
-constexpr std::size_t kLongestId = 64;  // of sid and cid (CTA-5004)
+constexpr std::size_t kMaxPayloadBytes = 8192, kMaxKeys = 64, kMaxStringLength = 1024;
+constexpr std::size_t kMaxIdLength = 64;  // of sid and cid (CTA-5004)
 
 // A payload of CMCD or CMSD-Static: key=value, joined by commas; already percent-decoded.
-Decoded decode_keys(Vocabulary vocabulary, std::string_view payload);
+DecodedKeys decode_keys(Vocabulary vocabulary, std::string_view payload);
 // In the order of the keys' names. Throws std::invalid_argument that names the key that can't be sent.
 std::string encode_keys(Vocabulary vocabulary, const Keys& keys);
 // Whether the key may be sent so; empty: yes, else why not.
@@ -56,24 +56,24 @@
 struct CmcdSources {
     std::array<std::string, 5> payload;  // by Carrier; the query's argument percent-decoded
 };
-Decoded decode_cmcd(const CmcdSources& sources);
+DecodedKeys decode_cmcd(const CmcdSources& sources);
 // Which header a CMCD key belongs into (CTA-5004, table 1); custom keys go with the session.
 Carrier carrier_of(const std::string& key);
 // The four headers' values for these keys, by Carrier; empty where there is nothing to send.
 std::array<std::string, 4> encode_cmcd_headers(const Keys& keys);
 
 // CMSD-Dynamic: one entry for each server on the way, the nearest to the player last (CTA-5006).
-struct Entry {
+struct CmsdEntry {
     std::string name;
     Keys keys;
 };
-struct DecodedEntries {
-    std::vector<Entry> entries;
-    std::vector<Dropped> dropped;
+struct DecodedCmsdEntries {
+    std::vector<CmsdEntry> entries;
+    std::vector<DroppedKey> dropped;
 };
-DecodedEntries decode_dynamic(std::string_view payload);
-std::string encode_dynamic(const std::vector<Entry>& entries);
+DecodedCmsdEntries decode_cmsd_dynamic(std::string_view payload);
+std::string encode_cmsd_dynamic(const std::vector<CmsdEntry>& entries);
 // Appends our entry to what earlier hops sent, which is kept to the byte even where we can't read it.
-std::string append_dynamic(std::string_view earlier, const Entry& ours);
+std::string append_cmsd_dynamic(std::string_view earlier, const CmsdEntry& ours);
 
 }  // namespace ivyfield::hints
--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -422,47 +422,48 @@
     return out;
 }
 
-std::vector<DictionaryPiece> split_dictionary(std::string_view text) {
-    std::vector<DictionaryPiece> out;
+std::vector<ParsedMember> parse_dictionary_members(std::string_view text) {
+    std::vector<ParsedMember> out;
     if (trim(text).empty()) return out;
     for (const std::string_view piece : split(text, ',')) {
-        DictionaryPiece one;
+        ParsedMember one;
         one.text = shorten(piece);
         const auto [name, value] = cut_key(piece);
         one.key = shorten(name.substr(0, name.find(';')));
         if (piece.empty()) {
-            one.why = "nothing between two commas";
+            one.reason = "nothing between two commas";
         } else if (!valid_key(one.key)) {
-            one.why = "not a key";
+            one.reason = "not a key";
         } else if (auto made = parse<dict_member>(piece)) {
             one.member = std::move(made->dictionary.front().second);
         } else {
-            one.why = value ? why_not_value(*value) : "not a key";
+            one.reason = value ? why_not_value(*value) : "not a key";
         }
         out.push_back(std::move(one));
     }
     return out;
 }
 
-std::vector<ListPiece> split_list(std::string_view text) {
-    std::vector<ListPiece> out;
+std::vector<ParsedListItem> parse_list_items(std::string_view text) {
+    std::vector<ParsedListItem> out;
     if (trim(text).empty()) return out;
     for (const std::string_view piece : split(text, ',')) {
-        ListPiece one;
+        ParsedListItem one;
         one.text = shorten(piece);
         const auto parts = split(piece, ';');
         if (auto made = parse<bare_item>(parts.front())) one.value = std::move(made->bare);
-        else one.why = piece.empty() ? "nothing between two commas" : why_not_value(parts.front());
+        else one.reason = piece.empty() ? "nothing between two commas" : why_not_value(parts.front());
         for (std::size_t k = 1; k < parts.size(); ++k) {
-            ParameterPiece p;
+            ParsedParameter p;
             p.text = shorten(parts[k]);
             const auto [name, value] = cut_key(parts[k]);
             p.key = shorten(name);
-            if (!valid_key(name)) p.why = parts[k].empty() ? "nothing between two semicolons" : "not a key";
+            if (!valid_key(name))
+                p.reason = parts[k].empty() ? "nothing between two semicolons" : "not a key";
             else if (!value) p.value = true;
             else if (auto made = parse<bare_item>(*value); made && trim(*value) == *value)
                 p.value = std::move(made->bare);
-            else p.why = why_not_value(*value);
+            else p.reason = why_not_value(*value);
             one.parameters.push_back(std::move(p));
         }
         out.push_back(std::move(one));
--- a/src/hints/structured.hpp
+++ b/src/hints/structured.hpp
@@ -57,25 +57,25 @@
 std::string serialize(const Dictionary& dictionary);
 
 // Member by member. `text` is the member as it stood; one of `member` and `why` is set.
-struct DictionaryPiece {
+struct ParsedMember {
     std::string key, text;  // the key as far as it can be told
     std::optional<Member> member;
-    std::string why;
+    std::string reason;
 };
-std::vector<DictionaryPiece> split_dictionary(std::string_view text);
+std::vector<ParsedMember> parse_dictionary_members(std::string_view text);
 
-struct ParameterPiece {
+struct ParsedParameter {
     std::string key, text;
     std::optional<BareItem> value;
-    std::string why;
+    std::string reason;
 };
-struct ListPiece {
+struct ParsedListItem {
     std::string text;
     std::optional<BareItem> value;  // the item without its parameters
-    std::vector<ParameterPiece> parameters;
-    std::string why;
+    std::vector<ParsedParameter> parameters;
+    std::string reason;
 };
-std::vector<ListPiece> split_list(std::string_view text);
+std::vector<ParsedListItem> parse_list_items(std::string_view text);
 
 bool valid_key(std::string_view key);  // key = ( lcalpha / "*" ) *( lcalpha / DIGIT / "_" / "-" / "." / "*" )
 
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-MediaPlaylist read_media(std::string_view text) {
+MediaPlaylist parse_media_playlist(std::string_view text) {
     Lines lines(text);
     MediaPlaylist out;
     bool due = false, discontinuity = false;  // due: a segment of this duration is to come
@@ -119,7 +119,7 @@
         } else if (const auto v = tag(*line, "#EXT-X-VERSION:")) {
             out.version = lines.number<int>(*v, "the version");
         } else if (const auto v = tag(*line, "#EXT-X-MEDIA-SEQUENCE:")) {
-            out.sequence = lines.number<std::uint64_t>(*v, "the sequence number");
+            out.media_sequence = lines.number<std::uint64_t>(*v, "the sequence number");
         } else if (const auto v = tag(*line, "#EXT-X-MAP:")) {
             out.map_uri = lines.attributes(*v)["URI"];
             if (out.map_uri.empty()) lines.fail("EXT-X-MAP without URI");
@@ -139,7 +139,7 @@
     return out;
 }
 
-std::vector<Variant> read_master(std::string_view text) {
+std::vector<Variant> parse_master_playlist(std::string_view text) {
     Lines lines(text);
     std::vector<Variant> out;
     std::optional<Variant> next;
@@ -163,13 +163,13 @@
     return out;
 }
 
-std::string write(const MediaPlaylist& playlist) {
+std::string write_media_playlist(const MediaPlaylist& playlist) {
     double longest = 0;
     for (const Segment& s : playlist.segments) longest = std::max(longest, s.duration_s);
     // Durations round to the nearest second, which may not exceed the target (4.3.3.1).
     std::string out = "#EXTM3U\n#EXT-X-VERSION:" + std::to_string(std::max(3, playlist.version)) +
                       "\n#EXT-X-TARGETDURATION:" + std::to_string(std::max(1L, std::lround(longest))) +
-                      "\n#EXT-X-MEDIA-SEQUENCE:" + std::to_string(playlist.sequence) + "\n";
+                      "\n#EXT-X-MEDIA-SEQUENCE:" + std::to_string(playlist.media_sequence) + "\n";
     if (playlist.ended) out += "#EXT-X-PLAYLIST-TYPE:VOD\n";
     if (!playlist.map_uri.empty()) out += "#EXT-X-MAP:URI=\"" + playlist.map_uri + "\"\n";
     for (const Segment& s : playlist.segments) {
@@ -180,7 +180,7 @@
     return out;
 }
 
-std::string write_master(const std::vector<Variant>& variants) {
+std::string write_master_playlist(const std::vector<Variant>& variants) {
     std::string out = "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-INDEPENDENT-SEGMENTS\n";
     for (const Variant& v : variants) {
         out += "#EXT-X-STREAM-INF:BANDWIDTH=" + std::to_string(v.bandwidth) +
@@ -210,8 +210,8 @@
     MediaPlaylist out;
     out.version = whole.version;
     out.map_uri = whole.map_uri;
-    out.sequence = end - most;
-    for (std::uint64_t k = out.sequence; k < end; ++k) {
+    out.media_sequence = end - most;
+    for (std::uint64_t k = out.media_sequence; k < end; ++k) {
         Segment s = whole.segments[static_cast<std::size_t>(k % n)];
         s.discontinuity = s.discontinuity || (k % n == 0 && k > 0);
         out.segments.push_back(std::move(s));
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -16,7 +16,7 @@
 };
 struct MediaPlaylist {
     int version = 3;
-    std::uint64_t sequence = 0;  // of the first segment
+    std::uint64_t media_sequence = 0;  // of the first segment
     std::vector<Segment> segments;
     std::string map_uri;  // initialization section (4.3.2.5); empty: none
     bool ended = false;   // no segment will be added
@@ -28,11 +28,11 @@
 };
 
 // Throw std::invalid_argument with the number of the line and the reason.
-MediaPlaylist read_media(std::string_view text);
-std::vector<Variant> read_master(std::string_view text);
+MediaPlaylist parse_media_playlist(std::string_view text);
+std::vector<Variant> parse_master_playlist(std::string_view text);
 
-std::string write(const MediaPlaylist& playlist);
-std::string write_master(const std::vector<Variant>& variants);
+std::string write_media_playlist(const MediaPlaylist& playlist);
+std::string write_master_playlist(const std::vector<Variant>& variants);
 
 // What a live title over a finished one shows at a time since some beginning: the last `most` segments that
 // are over by then, the list repeated without end. Numbers grow for ever; a repeat is a discontinuity.
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -4,21 +4,21 @@
 #include <list>
 #include <stdexcept>
 
-#include "http/server.hpp"  // head_bytes
+#include "http/server.hpp"  // serialize_head
 
 namespace ivyfield::http {
 
-const char* name(CallEnd end) {
+const char* name(CallOutcome end) {
     switch (end) {
-        case CallEnd::response:
+        case CallOutcome::response:
             return "response";
-        case CallEnd::not_connected:
+        case CallOutcome::not_connected:
             return "not connected";
-        case CallEnd::broke:
+        case CallOutcome::connection_lost:
             return "broke";
-        case CallEnd::bad_response:
+        case CallOutcome::bad_response:
             return "bad response";
-        case CallEnd::timed_out:
+        case CallOutcome::timed_out:
             return "timed out";
     }
     return "?";
@@ -75,7 +75,7 @@
     void write() {
         call->sent_ = true;
         call->connect_timeout_.stop();
-        stream->write(head_bytes(call->request_, true) + call->request_.body);
+        stream->write(serialize_head(call->request_, true) + call->request_.body);
         used = true;
     }
     void on_open() override {
@@ -87,7 +87,8 @@
             if (!call) return drop();  // bytes that answer nothing
             const auto status = parser.feed(bytes);
             if (status == Parser::Status::need_more) return;
-            if (status == Parser::Status::error) return end(CallEnd::bad_response, io::Closing::reset);
+            if (status == Parser::Status::error)
+                return end(CallOutcome::bad_response, io::CloseReason::reset);
             if (parser.response().status < 200) continue;  // interim
             const bool keep = parser.keep_alive() && bytes.empty() && !ended;
             complete(keep);
@@ -97,15 +98,15 @@
         ended = true;
         if (call && parser.finish() == Parser::Status::message && parser.response().status >= 200)
             return complete(false);
-        if (call) return end(CallEnd::broke, io::Closing::reset);
+        if (call) return end(CallOutcome::connection_lost, io::CloseReason::reset);
         drop();
     }
-    void on_closed(io::Closing why) override {
-        if (call) return end(open ? CallEnd::broke : CallEnd::not_connected, why);
+    void on_closed(io::CloseReason why) override {
+        if (call) return end(open ? CallOutcome::connection_lost : CallOutcome::not_connected, why);
         drop();
     }
     void complete(bool keep);
-    void end(CallEnd how, io::Closing why);
+    void end(CallOutcome how, io::CloseReason why);
     void drop();  // out of the pool; destroyed from the loop
 
     Client& client;
@@ -141,7 +142,7 @@
     timeout_.stop(), connect_timeout_.stop();
     auto& w = pool_.waiting;
     w.erase(std::remove(w.begin(), w.end(), this), w.end());
-    result.waited = client_.loop_.now() - began_;
+    result.elapsed = client_.loop_.now() - began_;
     const Done done = std::move(done_);  // may destroy this
     done(std::move(result));
 }
@@ -150,23 +151,23 @@
     Pending* const ended_call = call;
     call = nullptr;
     CallResult result;
-    result.end = CallEnd::response;
+    result.outcome = CallOutcome::response;
     result.response = std::move(parser.response());
     if (!keep) {
         drop();
     } else {
-        idle = client.loop_.after(client.limits_.idle, [this] { drop(); });
+        idle = client.loop_.after(client.limits_.idle_timeout, [this] { drop(); });
         if (!pool.waiting.empty()) client.serve_later(pool.address);
     }
     ended_call->finish(std::move(result));  // may end the client
 }
-void Client::Link::end(CallEnd how, io::Closing why) {
+void Client::Link::end(CallOutcome how, io::CloseReason why) {
     Pending* const ended_call = call;
     call = nullptr;
     drop();
     CallResult result;
-    result.end = how;
-    result.closing = why;
+    result.outcome = how;
+    result.close_reason = why;
     ended_call->finish(std::move(result));
 }
 void Client::Link::drop() {
@@ -213,18 +214,18 @@
         raw->timeout_ = loop_.after(raw->options_.timeout, [raw] {
             Link* const link = raw->link_;
             // Not connected yet: the peer has seen nothing.
-            const CallEnd how = raw->sent_ ? CallEnd::timed_out : CallEnd::not_connected;
-            if (link) return link->end(how, io::Closing::unreachable);
+            const CallOutcome how = raw->sent_ ? CallOutcome::timed_out : CallOutcome::not_connected;
+            if (link) return link->end(how, io::CloseReason::unreachable);
             CallResult result;
-            result.end = how;
-            result.closing = io::Closing::unreachable;
+            result.outcome = how;
+            result.close_reason = io::CloseReason::unreachable;
             raw->finish(std::move(result));
         });
     raw->connect_timeout_ = loop_.after(raw->options_.connect_timeout, [raw] {
-        if (raw->link_) return raw->link_->end(CallEnd::not_connected, io::Closing::unreachable);
+        if (raw->link_) return raw->link_->end(CallOutcome::not_connected, io::CloseReason::unreachable);
         CallResult result;
-        result.end = CallEnd::not_connected;
-        result.closing = io::Closing::no_resources;
+        result.outcome = CallOutcome::not_connected;
+        result.close_reason = io::CloseReason::no_resources;
         raw->finish(std::move(result));
     });
     pool->waiting.push_back(raw);
@@ -243,13 +244,13 @@
                 found = it->get();
                 break;
             }
-        if (next.options_.fresh) {
+        if (next.options_.new_connection) {
             // An idle connection makes room for the new one where the cap is reached.
-            if (found && pool.links.size() >= limits_.per_address) found->drop();
+            if (found && pool.links.size() >= limits_.max_connections_per_address) found->drop();
             found = nullptr;
         }
         if (!found) {
-            if (pool.links.size() >= limits_.per_address) return;
+            if (pool.links.size() >= limits_.max_connections_per_address) return;
             pool.links.push_back(std::make_unique<Link>(*this, pool));
             found = pool.links.back().get();
             found->stream = loop_.dial(pool.address, next.options_.connect_timeout, found);
@@ -259,11 +260,11 @@
     }
 }
 
-std::size_t Client::open(const io::Address& to) const {
+std::size_t Client::open_connections(const io::Address& to) const {
     const auto it = pools_.find(to);
     return it == pools_.end() ? 0 : it->second->links.size();
 }
-std::size_t Client::open() const {
+std::size_t Client::open_connections() const {
     std::size_t n = 0;
     for (const auto& [address, pool] : pools_) n += pool->links.size();
     return n;
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -14,31 +14,31 @@
 
 struct ClientLimits {
     ParseLimits parse;
-    std::size_t per_address = 64;  // open connections; further calls wait for one
-    io::Time idle = 5000;          // a connection unused for so long is closed: less than servers keep theirs
+    std::size_t max_connections_per_address = 64;  // open connections; further calls wait for one
+    io::Time idle_timeout = 5000;  // a connection unused for so long is closed: less than servers keep theirs
 };
 
 // How a call ended.
-enum class CallEnd {
-    response,       // a whole answer came
-    not_connected,  // no connection was made or came free in time: the peer has seen nothing of the request
-    broke,          // the connection ended after the request may have left: the peer may have seen it
-    bad_response,   // something came that is no answer
-    timed_out       // no whole answer in time
+enum class CallOutcome {
+    response,         // a whole answer came
+    not_connected,    // no connection was made or came free in time: the peer has seen nothing of the request
+    connection_lost,  // the connection ended after the request may have left: the peer may have seen it
+    bad_response,     // something came that is no answer
+    timed_out         // no whole answer in time
 };
-const char* name(CallEnd end);
+const char* name(CallOutcome outcome);
 
 struct CallResult {
-    CallEnd end = CallEnd::broke;
-    Response response;  // with CallEnd::response; the body is empty if it was streamed
-    io::Time waited = 0;
-    io::Closing closing = io::Closing::clean;  // why, with not_connected and broke
+    CallOutcome outcome = CallOutcome::connection_lost;
+    Response response;  // with CallOutcome::response; the body is empty if it was streamed
+    io::Time elapsed = 0;
+    io::CloseReason close_reason = io::CloseReason::clean;  // why, with not_connected and broke
 };
 
 struct CallOptions {
     io::Time connect_timeout = 1000;
-    io::Time timeout = 10000;  // of the whole call; 0: none
-    bool fresh = false;        // on a new connection: an idle one may be ending at the other side just now
+    io::Time timeout = 10000;     // of the whole call; 0: none
+    bool new_connection = false;  // on a new connection: an idle one may be ending at the other side just now
     std::function<void(const Response& head)> on_head;
     std::function<void(std::string_view)> on_body;  // the body in pieces instead of in the result
 };
@@ -62,8 +62,8 @@
     // `done` is called once, never within this call, unless the Call is destroyed first.
     [[nodiscard]] std::unique_ptr<Call> send(const io::Address& to, Request request, CallOptions options,
                                              Done done);
-    std::size_t open(const io::Address& to) const;
-    std::size_t open() const;
+    std::size_t open_connections(const io::Address& to) const;
+    std::size_t open_connections() const;
     void close_idle(const io::Address& to);
 
     struct Pool;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return a.size() == b.size() &&
            std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
@@ -30,19 +30,19 @@
 }
 void Headers::set(std::string_view name, std::string value) {
     fields_.erase(std::remove_if(fields_.begin(), fields_.end(),
-                                 [&](const Field& f) { return same_name(f.first, name); }),
+                                 [&](const Field& f) { return equals_ignoring_case(f.first, name); }),
                   fields_.end());
     add(std::string(name), std::move(value));
 }
 std::optional<std::string_view> Headers::get(std::string_view name) const {
     for (const Field& f : fields_)
-        if (same_name(f.first, name)) return f.second;
+        if (equals_ignoring_case(f.first, name)) return f.second;
     return std::nullopt;
 }
-std::string Headers::all(std::string_view name) const {
+std::string Headers::get_all(std::string_view name) const {
     std::string out;
     for (const Field& f : fields_) {
-        if (!same_name(f.first, name) || f.second.empty()) continue;
+        if (!equals_ignoring_case(f.first, name) || f.second.empty()) continue;
         if (!out.empty()) out += ", ";
         out += f.second;
     }
@@ -50,15 +50,15 @@
 }
 std::size_t Headers::count(std::string_view name) const {
     return std::count_if(fields_.begin(), fields_.end(),
-                         [&](const Field& f) { return same_name(f.first, name); });
+                         [&](const Field& f) { return equals_ignoring_case(f.first, name); });
 }
 bool Headers::has_token(std::string_view name, std::string_view token) const {
     for (const Field& f : fields_) {
-        if (!same_name(f.first, name)) continue;
+        if (!equals_ignoring_case(f.first, name)) continue;
         std::string_view rest = f.second;
         while (!rest.empty()) {
             const std::size_t comma = std::min(rest.find(','), rest.size());
-            if (same_name(trim(rest.substr(0, comma)), token)) return true;
+            if (equals_ignoring_case(trim(rest.substr(0, comma)), token)) return true;
             rest.remove_prefix(std::min(comma + 1, rest.size()));
         }
     }
@@ -194,7 +194,7 @@
     return request.method == "OPTIONS" && request.headers.get("Origin") &&
            request.headers.get("Access-Control-Request-Method");
 }
-Response preflight_answer(std::string_view headers, int max_age_s) {
+Response preflight_response(std::string_view headers, int max_age_s) {
     Response r;
     r.status = 204;
     r.headers.add("Access-Control-Allow-Origin", "*");
@@ -209,7 +209,7 @@
     headers.set("Access-Control-Expose-Headers", std::string(exposed));
 }
 
-Response plain(int status, std::string_view text) {
+Response text_response(int status, std::string_view text) {
     Response r;
     r.status = status;
     r.headers.add("Content-Type", "text/plain; charset=utf-8");
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -10,7 +10,8 @@
 
 namespace ivyfield::http {
 
-bool same_name(std::string_view a, std::string_view b);  // header names, case ignored (RFC 9110, 5.1)
+bool equals_ignoring_case(std::string_view a,
+                          std::string_view b);  // header names, case ignored (RFC 9110, 5.1)
 
 class Headers {
   public:
@@ -20,7 +21,7 @@
     // The first of that name, or nothing.
     std::optional<std::string_view> get(std::string_view name) const;
     // All of that name as one list, joined by ", " (RFC 9110, 5.3); empty when there is none.
-    std::string all(std::string_view name) const;
+    std::string get_all(std::string_view name) const;
     std::size_t count(std::string_view name) const;
     bool has_token(std::string_view name, std::string_view token) const;  // in a comma-separated list
     const std::vector<Field>& fields() const { return fields_; }
@@ -60,11 +61,11 @@
 // with certain headers may be sent; it is answered with what is allowed, for how long, and does nothing else.
 bool is_preflight(const Request& request);
 // The answer: `headers` may be sent, any origin may ask, and need not ask again for `max_age_s` seconds.
-Response preflight_answer(std::string_view headers, int max_age_s);
+Response preflight_response(std::string_view headers, int max_age_s);
 // What an answer must say for a page of any origin to read it and the headers named.
 void allow_any_origin(Headers& headers, std::string_view exposed);
 
 // A plain reply with a line of text.
-Response plain(int status, std::string_view text);
+Response text_response(int status, std::string_view text);
 
 }  // namespace ivyfield::http
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -19,7 +19,7 @@
             switch (state_) {
                 case State::size:
                 case State::extension:
-                    if (++line_ > limits.chunk_line) return "a chunk's line is too long";
+                    if (++line_ > limits.max_chunk_line_bytes) return "a chunk's line is too long";
                     if (c == '\r') {
                         if (digits_ == 0) return "a chunk has no size";
                         state_ = State::size_lf;
@@ -58,7 +58,7 @@
                     state_ = State::size, left_ = 0, line_ = 0, digits_ = 0;
                     break;
                 case State::trailer:
-                    if (++trailer_ > limits.head) return "trailers are too long";
+                    if (++trailer_ > limits.max_head_bytes) return "trailers are too long";
                     if (c == '\r') state_ = State::trailer_lf;
                     else if (c == '\n') return "a trailer ends with a bare LF";
                     else line_ += 1;
@@ -135,8 +135,9 @@
             return 0;
         }
         std::string& body = i.self.kind_ == Kind::request ? i.self.request_.body : i.self.response_.body;
-        if (body.size() + n > i.self.limits_.body) {
-            i.self.fail(413, "the body is longer than " + std::to_string(i.self.limits_.body) + " bytes");
+        if (body.size() + n > i.self.limits_.max_body_bytes) {
+            i.self.fail(
+                413, "the body is longer than " + std::to_string(i.self.limits_.max_body_bytes) + " bytes");
             return -1;
         }
         body.append(at, n);
@@ -223,7 +224,7 @@
         }
         if (first) {
             first = false;
-            if (line.size() > limits_.line) return fail(414, "the first line is too long"), false;
+            if (line.size() > limits_.max_line_bytes) return fail(414, "the first line is too long"), false;
             continue;
         }
         if (line.empty()) continue;
@@ -233,7 +234,7 @@
             return fail(400, "a header line without a name"), false;
         if (!std::all_of(line.begin(), line.begin() + colon, is_token))
             return fail(400, "a header's name has a character that names don't have"), false;
-        if (++fields > limits_.fields) return fail(431, "too many headers"), false;
+        if (++fields > limits_.max_fields) return fail(431, "too many headers"), false;
     }
     return true;
 }
@@ -250,10 +251,11 @@
             !std::all_of(value.begin(), value.end(), [](char c) { return c >= '0' && c <= '9'; }))
             return fail(400, "Content-Length is not a plain number"), false;
         if (!sink_ && !impl_->no_body &&
-            (value.size() > 15 || std::stoull(std::string(value)) > limits_.body))
-            return fail(413, "the body is longer than " + std::to_string(limits_.body) + " bytes"), false;
+            (value.size() > 15 || std::stoull(std::string(value)) > limits_.max_body_bytes))
+            return fail(413, "the body is longer than " + std::to_string(limits_.max_body_bytes) + " bytes"),
+                   false;
     }
-    if (codings > 1 || (codings && !same_name(*h.get("Transfer-Encoding"), "chunked")))
+    if (codings > 1 || (codings && !equals_ignoring_case(*h.get("Transfer-Encoding"), "chunked")))
         return fail(kind_ == Kind::request ? 501 : 400, "a transfer coding other than one \"chunked\""),
                false;
     if (codings && minor_ == 0) return fail(400, "Transfer-Encoding in HTTP/1.0"), false;
@@ -283,7 +285,8 @@
     };
     if (impl_->phase == Impl::Phase::head) {
         std::size_t had = head_.size();
-        const std::size_t take = std::min(bytes.size(), limits_.head + 1 - std::min(limits_.head, had));
+        const std::size_t take =
+            std::min(bytes.size(), limits_.max_head_bytes + 1 - std::min(limits_.max_head_bytes, had));
         head_.append(bytes.substr(0, take));
         // A client may send an empty line before a request (RFC 9112, 2.2).
         std::size_t stripped = 0;
@@ -291,20 +294,20 @@
         head_.erase(0, stripped);
         const std::size_t from = had < stripped + 3 ? 0 : had - stripped - 3;
         const std::size_t end = head_.find("\r\n\r\n", from);
-        if (std::min(head_.find("\r\n"), head_.size()) > limits_.line)
+        if (std::min(head_.find("\r\n"), head_.size()) > limits_.max_line_bytes)
             return fail(414, "the first line is too long");
         if (end == std::string::npos) {
             // A bare LF would keep the end of the head from ever being seen.
             for (std::size_t lf = head_.find('\n', from); lf != std::string::npos;
                  lf = head_.find('\n', lf + 1))
                 if (lf == 0 || head_[lf - 1] != '\r') return fail(400, "a line ends with a bare LF");
-            if (head_.size() >= limits_.head) return fail(431, "the head is too long");
+            if (head_.size() >= limits_.max_head_bytes) return fail(431, "the head is too long");
             bytes.remove_prefix(take);
             return Status::need_more;
         }
         bytes.remove_prefix(take - (head_.size() - (end + 4)));
         head_.resize(end + 4);
-        if (head_.size() > limits_.head) return fail(431, "the head is too long");
+        if (head_.size() > limits_.max_head_bytes) return fail(431, "the head is too long");
         if (!check_head(head_)) return Status::error;
         const std::string head = std::move(head_);
         head_.clear();
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -17,16 +17,17 @@
 namespace ivyfield::http {
 
 struct ParseLimits {
-    std::size_t line = 8 * 1024;     // request or status line
-    std::size_t head = 16 * 1024;    // all headers with the line
-    std::size_t fields = 100;        // headers in number
-    std::size_t body = 1024 * 1024;  // content, after chunks are put together; ignored with a body sink
-    std::size_t chunk_line = 256;    // a chunk's size with its extensions
+    std::size_t max_line_bytes = 8 * 1024;   // request or status line
+    std::size_t max_head_bytes = 16 * 1024;  // all headers with the line
+    std::size_t max_fields = 100;            // headers in number
+    std::size_t max_body_bytes =
+        1024 * 1024;  // content, after chunks are put together; ignored with a body sink
+    std::size_t max_chunk_line_bytes = 256;  // a chunk's size with its extensions
 };
 
 struct ParseError {
     int status = 400;  // what a server answers
-    std::string why;
+    std::string reason;
 };
 
 // Reads one message after the other from one side of a connection.
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-std::string head_bytes(const Request& request, bool with_length) {
+std::string serialize_head(const Request& request, bool with_length) {
     std::string out = request.method + " " + request.target + " HTTP/1.1\r\n";
     for (const auto& f : request.headers.fields()) put_field(out, f);
     if (with_length && (!request.body.empty() || request.method == "POST" || request.method == "PUT"))
         out += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
     return out += "\r\n";
 }
-std::string head_bytes(int status, const Headers& headers) {
+std::string serialize_head(int status, const Headers& headers) {
     std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n";
     for (const auto& f : headers.fields()) put_field(out, f);
     return out += "\r\n";
@@ -76,8 +76,8 @@
         flushing_ = false;
         if (ended || (queue_.empty() && (peer_ended_ || server_.draining_) && parser_.idle()))
             return close_after_answers();
-        if (paused_ && queue_.size() < server_.limits_.pipelined &&
-            stream_->pending() < server_.limits_.output) {
+        if (paused_ && queue_.size() < server_.limits_.max_pipelined_requests &&
+            stream_->pending() < server_.limits_.max_unsent_bytes) {
             paused_ = false;
             if (!server_.frozen_) stream_->resume();
             if (!held_.empty()) {
@@ -91,7 +91,7 @@
         }
         watch();
     }
-    bool over_mark() const { return stream_->pending() > server_.limits_.output; }
+    bool over_mark() const { return stream_->pending() > server_.limits_.max_unsent_bytes; }
     void reset() { over(); }
     void freeze(bool on) {
         if (on) stream_->pause();
@@ -112,16 +112,16 @@
         if (!parser_.idle() && held_.empty()) return refuse({400, "the connection ended inside a message"});
         if (queue_.empty()) close_after_answers();
     }
-    void on_drained() override {
+    void on_flushed() override {
         last_pending_ = 0;
         progressed_ = server_.loop_.now();
         if (!queue_.empty()) {
             const ExchangePtr front = queue_.front();
-            if (front->on_drain_) front->on_drain_();
+            if (front->on_writable_) front->on_writable_();
         }
         if (!over_) flush();
     }
-    void on_closed(io::Closing) override { over(); }
+    void on_closed(io::CloseReason) override { over(); }
 
   private:
     void read(std::string_view more) {
@@ -133,7 +133,7 @@
             more = kept;
         }
         while (!closing_ && !over_) {
-            if (queue_.size() >= server_.limits_.pipelined || over_mark()) {
+            if (queue_.size() >= server_.limits_.max_pipelined_requests || over_mark()) {
                 held_.assign(more);
                 if (!paused_) paused_ = true, stream_->pause();
                 break;
@@ -162,8 +162,8 @@
         queue_.push_back(exchange);
         // What the handler holds answers for itself when it is dropped.
         server_.handler_(ExchangePtr(exchange.get(), [exchange](Exchange* e) {
-            if (!e->started_) e->respond(plain(500, "no answer was made"));
-            else if (!e->finished_) e->break_off();
+            if (!e->started_) e->respond(text_response(500, "no answer was made"));
+            else if (!e->finished_) e->abort_connection();
         }));
         if (last_taken_ && !closing_) paused_reading_for_good();
     }
@@ -171,11 +171,11 @@
     void paused_reading_for_good() { closing_ = true, held_.clear(); }
 
     void refuse(const ParseError& error) {
-        server_.counts_.refused += 1;
+        server_.counts_.rejected += 1;
         const ExchangePtr exchange(new Exchange(this, {}, stream_->peer(), false, 1));
         closing_ = true;
         queue_.push_back(exchange);
-        exchange->respond(plain(error.status, error.why));
+        exchange->respond(text_response(error.status, error.reason));
     }
     void close_after_answers() {
         if (over_ || ended_) return;
@@ -189,9 +189,9 @@
     }
     void leave(const ExchangePtr& e) {
         e->connection_ = nullptr;
-        if (e->on_gone_ && !e->finished_) {
-            const auto call = std::move(e->on_gone_);
-            e->on_gone_ = nullptr;
+        if (e->on_disconnect_ && !e->finished_) {
+            const auto call = std::move(e->on_disconnect_);
+            e->on_disconnect_ = nullptr;
             call();
         }
     }
@@ -219,11 +219,12 @@
         const std::size_t pending = stream_->pending();
         if (pending != last_pending_) last_pending_ = pending, progressed_ = now;
         io::Time wait = 0;
-        if (ended_ && pending == 0) wait = l.linger, kind_ = Watch::linger;
-        else if (pending > 0) wait = progressed_ + l.stuck - now, kind_ = Watch::stuck;
+        if (ended_ && pending == 0) wait = l.linger_timeout, kind_ = Watch::linger;
+        else if (pending > 0) wait = progressed_ + l.write_timeout - now, kind_ = Watch::stuck;
         else if (!closing_ && !parser_.idle() && !paused_)
-            wait = begun_ + (parser_.in_body() ? l.head + l.body : l.head) - now, kind_ = Watch::slow;
-        else if (queue_.empty()) wait = l.idle, kind_ = Watch::idle;
+            wait = begun_ + (parser_.in_body() ? l.head_timeout + l.body_timeout : l.head_timeout) - now,
+            kind_ = Watch::slow;
+        else if (queue_.empty()) wait = l.idle_timeout, kind_ = Watch::idle;
         else return timer_.stop();
         timer_ = server_.loop_.after(std::max(wait, 0.0), [this] { due(); });
     }
@@ -234,11 +235,11 @@
             case Watch::stuck: {
                 const bool moved = stream_->pending() != last_pending_;
                 if (moved) return watch();
-                server_.counts_.slow += 1;
+                server_.counts_.timed_out += 1;
                 return over();
             }
             case Watch::slow:
-                server_.counts_.slow += 1;
+                server_.counts_.timed_out += 1;
                 return refuse({408, "the request did not come in time"});
             case Watch::idle:
                 return close_after_answers();
@@ -277,7 +278,7 @@
     if (has_body(response.status)) headers.add("Content-Length", std::to_string(response.body.size()));
     if (!keep_alive_) headers.add("Connection", "close");
     else if (minor_ == 0) headers.add("Connection", "keep-alive");
-    std::string bytes = head_bytes(response.status, headers);
+    std::string bytes = serialize_head(response.status, headers);
     if (!bodiless_ && has_body(response.status)) bytes += response.body;
     finished_ = true;
     put(bytes);
@@ -293,7 +294,7 @@
         else keep_alive_ = false;
     }
     if (!keep_alive_) headers.add("Connection", "close");
-    put(head_bytes(status, headers));
+    put(serialize_head(status, headers));
 }
 bool Exchange::write(std::string_view bytes) {
     if (!started_ || finished_) throw std::logic_error("a write outside of an answer");
@@ -306,7 +307,7 @@
     finished_ = true;
     put(chunked_ && !bodiless_ ? "0\r\n\r\n" : "");
 }
-void Exchange::break_off() {
+void Exchange::abort_connection() {
     started_ = true;
     if (connection_) connection_->reset();
 }
@@ -317,25 +318,25 @@
         counts_.connections += 1;
         const std::uint64_t id = ++next_;
         connections_.emplace(id, std::make_unique<Connection>(*this, id, std::move(stream)));
-        if (connections_.size() >= limits_.connections && listener_) listener_->pause();
+        if (connections_.size() >= limits_.max_connections && listener_) listener_->pause();
     });
 }
 Server::~Server() = default;
 
 void Server::remove(std::uint64_t id) {
     connections_.erase(id);
-    if (listener_ && !frozen_ && connections_.size() < limits_.connections) listener_->resume();
+    if (listener_ && !frozen_ && connections_.size() < limits_.max_connections) listener_->resume();
 }
 void Server::drain() {
     draining_ = true;
     for (auto& [id, connection] : connections_) connection->drain();
 }
-void Server::freeze() {
+void Server::pause() {
     frozen_ = true;
     if (listener_) listener_->pause();
     for (auto& [id, connection] : connections_) connection->freeze(true);
 }
-void Server::thaw() {
+void Server::resume() {
     frozen_ = false;
     if (listener_) listener_->resume();
     for (auto& [id, connection] : connections_) connection->freeze(false);
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -14,19 +14,21 @@
 
 struct ServerLimits {
     ParseLimits parse;
-    std::size_t connections = 20000;   // further ones wait in the system's queue
-    std::size_t pipelined = 8;         // requests of one connection that wait for answers; then reading stops
-    std::size_t output = 1024 * 1024;  // unsent bytes of one connection before Exchange::write says false
-    io::Time idle = 60000;             // between two messages with nothing owed
-    io::Time head = 10000;             // from a request's first byte to the end of its head
-    io::Time body = 30000;             // from there to the end of its body
-    io::Time stuck = 30000;            // a peer that takes none of its answer for so long is cut off
-    io::Time linger = 1000;            // after an error answer, for the peer to read it
+    std::size_t max_connections = 20000;  // further ones wait in the system's queue
+    std::size_t max_pipelined_requests =
+        8;  // requests of one connection that wait for answers; then reading stops
+    std::size_t max_unsent_bytes =
+        1024 * 1024;                 // unsent bytes of one connection before Exchange::write says false
+    io::Time idle_timeout = 60000;   // between two messages with nothing owed
+    io::Time head_timeout = 10000;   // from a request's first byte to the end of its head
+    io::Time body_timeout = 30000;   // from there to the end of its body
+    io::Time write_timeout = 30000;  // a peer that takes none of its answer for so long is cut off
+    io::Time linger_timeout = 1000;  // after an error answer, for the peer to read it
 };
 
 struct ServerCounts {
-    std::uint64_t connections = 0, requests = 0, refused = 0;  // refused: answered 4xx by the server itself
-    std::uint64_t slow = 0;                                    // cut off for slowness, either way
+    std::uint64_t connections = 0, requests = 0, rejected = 0;  // refused: answered 4xx by the server itself
+    std::uint64_t timed_out = 0;                                // cut off for slowness, either way
 };
 
 class Connection;
@@ -46,16 +48,16 @@
     // Or in pieces: start, write as often as wanted, finish. A length in the headers is kept to by the
     // caller; without one the body is chunked.
     void start(int status, Headers headers);
-    bool write(std::string_view bytes);  // false: wait for on_drain before the next
+    bool write(std::string_view bytes);  // false: wait for on_writable before the next
     void finish();
     // Closes the connection as if this process had died.
-    void break_off();
+    void abort_connection();
 
-    bool answered() const { return started_; }
-    bool gone() const { return connection_ == nullptr; }  // the peer is away: answers are dropped
+    bool response_started() const { return started_; }
+    bool is_disconnected() const { return connection_ == nullptr; }  // the peer is away: answers are dropped
     // The peer has closed the connection before the whole answer was written.
-    void on_gone(std::function<void()> call) { on_gone_ = std::move(call); }
-    void on_drain(std::function<void()> call) { on_drain_ = std::move(call); }
+    void on_disconnect(std::function<void()> call) { on_disconnect_ = std::move(call); }
+    void on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
 
   private:
     friend class Connection;
@@ -74,7 +76,7 @@
     int minor_;
     bool started_ = false, finished_ = false, chunked_ = false, bodiless_ = false;
     std::string waiting_;  // written before it was this exchange's turn
-    std::function<void()> on_gone_, on_drain_;
+    std::function<void()> on_disconnect_, on_writable_;
 };
 using ExchangePtr = std::shared_ptr<Exchange>;
 
@@ -88,15 +90,15 @@
     Server& operator=(const Server&) = delete;
 
     io::Address address() const { return listener_ ? listener_->address() : io::Address{}; }
-    std::size_t open() const { return connections_.size(); }
+    std::size_t open_connections() const { return connections_.size(); }
     const ServerCounts& counts() const { return counts_; }
     void stop_listening() { listener_.reset(); }
     // Ends connections that owe nothing, and each other one after its last answer. New ones are still taken,
     // so that what the system has accepted is answered; stop_listening() ends that.
     void drain();
     // For stand-ins that stand still: nothing is accepted or read until resume.
-    void freeze();
-    void thaw();
+    void pause();
+    void resume();
 
   private:
     friend class Connection;
@@ -119,7 +121,7 @@
 
 // Head of a message as bytes. Chunked where the caller says so; no check of the values but for line ends,
 // which would split the message: a value with CR or LF is an assertion.
-std::string head_bytes(const Request& request, bool with_length);
-std::string head_bytes(int status, const Headers& headers);
+std::string serialize_head(const Request& request, bool with_length);
+std::string serialize_head(int status, const Headers& headers);
 
 }  // namespace ivyfield::http
--- a/src/io/ev/child.cpp
+++ b/src/io/ev/child.cpp
@@ -83,18 +83,18 @@
     setrlimit(RLIMIT_NOFILE, &limit);
     return static_cast<std::size_t>(limit.rlim_cur);
 }
-void never_wait_for_log() {
+void set_stderr_nonblocking() {
     const int flags = fcntl(STDERR_FILENO, F_GETFL);
     if (flags >= 0) fcntl(STDERR_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
-void block_further_signals() {
+void block_termination_signals() {
     sigset_t signals;
     sigemptyset(&signals);
     for (const int number : {SIGHUP, SIGINT, SIGTERM}) sigaddset(&signals, number);
     sigprocmask(SIG_BLOCK, &signals, nullptr);
 }
-std::string own_program() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
-std::string temporary_folder() {
+std::string executable_path() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
+std::string create_temporary_folder() {
     std::string path = (std::filesystem::temp_directory_path() / "ivyfield-XXXXXX").string();
     if (!mkdtemp(path.data())) throw std::runtime_error("can't make a temporary folder: " + path);
     return path;
--- a/src/io/ev/child.hpp
+++ b/src/io/ev/child.hpp
@@ -26,12 +26,12 @@
 };
 
 std::size_t raise_file_limit();  // open files: as many as this process may have; how many, 0: not known
-void never_wait_for_log();       // lines that a full pipe on standard error does not take are lost
+void set_stderr_nonblocking();   // lines that a full pipe on standard error does not take are lost
 // For a process whose loop has ended: signals that it waited for would otherwise kill it on its last steps.
-void block_further_signals();
-std::string own_program();  // the path of this program
+void block_termination_signals();
+std::string executable_path();  // the path of this program
 // A fresh folder for this run, removed by the caller. Throws std::runtime_error.
-std::string temporary_folder();
+std::string create_temporary_folder();
 void write_file(const std::string& path, const std::string& text);
 void remove_folder(const std::string& path);
 
--- a/src/io/ev/ev_loop.cpp
+++ b/src/io/ev/ev_loop.cpp
@@ -73,18 +73,18 @@
     return {"0.0.0.0", 0};
 }
 
-Closing closing_of(int error) {
+CloseReason closing_of(int error) {
     switch (error) {
         case ECONNREFUSED:
-            return Closing::refused;
+            return CloseReason::refused;
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
         case ENOMEM:
         case EADDRNOTAVAIL:
-            return Closing::no_resources;
+            return CloseReason::no_resources;
         default:
-            return Closing::unreachable;
+            return CloseReason::unreachable;
     }
 }
 
@@ -137,7 +137,7 @@
         auto* self = static_cast<Impl*>(w->data);
         ev_timer_stop(loop, &self->timer);
         if (self->timers.empty()) return;
-        const double wait = std::max(0.0, self->timers.first() - clock_ms(CLOCK_MONOTONIC)) / 1e3;
+        const double wait = std::max(0.0, self->timers.first_due() - clock_ms(CLOCK_MONOTONIC)) / 1e3;
         ev_now_update(loop);
         ev_timer_set(&self->timer, wait, 0);
         ev_timer_start(loop, &self->timer);
@@ -149,12 +149,12 @@
         auto* self = static_cast<Impl*>(w->data);
         // A wait that a signal broke off (the one that continues a stopped process too) brings no input
         // though there is some. Timers that are late by so much wait for one more look.
-        if (!self->looked_again && !self->timers.empty() && self->now - self->timers.first() > kLate) {
+        if (!self->looked_again && !self->timers.empty() && self->now - self->timers.first_due() > kLate) {
             self->looked_again = true;
             return;
         }
         self->looked_again = false;
-        const std::uint64_t before = self->timers.mark();
+        const std::uint64_t before = self->timers.last_id();
         while (Task task = self->timers.take_due(self->now, before)) task();
     }
 
@@ -191,7 +191,7 @@
         bool connected = true, paused = false, ending = false, end_sent = false, peer_ended = false;
         bool closed = false;     // nothing more is told
         bool late_tell = false;  // a failure found inside a call is told from the loop
-        Closing late_why = Closing::reset;
+        CloseReason late_why = CloseReason::reset;
         Address peer, local;
         std::shared_ptr<State> self;  // while a watcher is active
 
@@ -214,7 +214,7 @@
             ev_io_set(&io, fd, events);
             if (events) ev_io_start(loop->ev, &io);
         }
-        void close_with(Closing why) {
+        void close_with(CloseReason why) {
             if (closed) return;
             release();
             if (handler) handler->on_closed(why);
@@ -303,7 +303,7 @@
     }
     void pause() override { state_->paused = true, state_->interest(); }
     void resume() override { state_->paused = false, state_->interest(); }
-    void receive_arrived() override {
+    void read_available() override {
         const auto keep = state_;
         State& s = *keep;
         if (s.closed || !s.connected || s.paused || s.peer_ended) return;
@@ -328,7 +328,7 @@
 
     static void on_dial_timeout(struct ev_loop*, ev_timer* w, int) {
         const auto keep = static_cast<State*>(w->data)->self;
-        keep->close_with(Closing::unreachable);
+        keep->close_with(CloseReason::unreachable);
     }
     static void on_io(struct ev_loop* loop, ev_io* w, int events) {
         const auto keep = static_cast<State*>(w->data)->self;
@@ -348,16 +348,16 @@
         if (s.closed) return;
         if ((events & EV_WRITE) && s.sent < s.out.size()) {
             const bool done = s.flush();
-            if (s.late_tell) return s.close_with(Closing::reset);
-            if (done && s.handler) s.handler->on_drained();
+            if (s.late_tell) return s.close_with(CloseReason::reset);
+            if (done && s.handler) s.handler->on_flushed();
         }
         if (s.closed) return;
-        if (s.late_tell) return s.close_with(Closing::reset);
+        if (s.late_tell) return s.close_with(CloseReason::reset);
         if (s.ending && s.sent == s.out.size() && !s.end_sent) s.flush();
-        if (s.peer_ended && s.end_sent) return s.close_with(Closing::clean);
+        if (s.peer_ended && s.end_sent) return s.close_with(CloseReason::clean);
         s.interest();
     }
-    // A callback may have another stream read (receive_arrived) while it holds the bytes of its own.
+    // A callback may have another stream read (read_available) while it holds the bytes of its own.
     static void read(State& s) {
         static thread_local bool in_callback = false;
         if (in_callback) {
@@ -379,7 +379,7 @@
             s.peer_ended = true;
             if (s.handler) s.handler->on_end();
         } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-            s.close_with(Closing::reset);
+            s.close_with(CloseReason::reset);
         }
     }
 
@@ -389,7 +389,7 @@
 // A dial that failed at once; told from the loop.
 class FailedStream : public Stream {
   public:
-    FailedStream(Loop* loop, const Address& peer, Closing why, StreamHandler* handler)
+    FailedStream(Loop* loop, const Address& peer, CloseReason why, StreamHandler* handler)
         : peer_(peer), handler_(handler) {
         timer_ = loop->after(0, [this, why] {
             if (handler_) handler_->on_closed(why);
@@ -401,7 +401,7 @@
     void end() override {}
     void pause() override {}
     void resume() override {}
-    void receive_arrived() override {}
+    void read_available() override {}
     Address peer() const override { return peer_; }
     Address local() const override { return {}; }
 
@@ -413,7 +413,8 @@
 
 class EvListener : public Listener {
   public:
-    EvListener(Impl* loop, int fd, Loop::Accept accept) : loop_(loop), fd_(fd), accept_(std::move(accept)) {
+    EvListener(Impl* loop, int fd, Loop::AcceptHandler accept)
+        : loop_(loop), fd_(fd), accept_(std::move(accept)) {
         ev_io_init(&io_, on_io, fd, EV_READ);
         io_.data = this;
         ev_io_start(loop_->ev, &io_);
@@ -459,7 +460,7 @@
 
     Impl* loop_;
     int fd_;
-    Loop::Accept accept_;
+    Loop::AcceptHandler accept_;
     ev_io io_{};
     ev_timer rest_{};
     bool paused_ = false;
@@ -467,15 +468,16 @@
     Address address_;
 };
 
-class EvDatagram : public Datagram {
+class EvDatagramSocket : public DatagramSocket {
   public:
-    EvDatagram(Impl* loop, int fd, Heard heard) : loop_(loop), fd_(fd), heard_(std::move(heard)) {
+    EvDatagramSocket(Impl* loop, int fd, ReceiveHandler heard)
+        : loop_(loop), fd_(fd), heard_(std::move(heard)) {
         ev_io_init(&io_, on_io, fd, EV_READ);
         ev_set_priority(&io_, kDatagramPriority);
         io_.data = this;
         ev_io_start(loop_->ev, &io_);
     }
-    ~EvDatagram() override {
+    ~EvDatagramSocket() override {
         if (gone_) *gone_ = true;
         ev_io_stop(loop_->ev, &io_);
         ::close(fd_);
@@ -494,7 +496,7 @@
   private:
     static void on_io(struct ev_loop*, ev_io* w, int) {
         static thread_local std::array<char, kReadATurn> buffer;
-        auto* self = static_cast<EvDatagram*>(w->data);
+        auto* self = static_cast<EvDatagramSocket*>(w->data);
         bool gone = false;
         self->gone_ = &gone;
         for (int k = 0; k < kDatagramsATurn && !gone; ++k) {
@@ -509,7 +511,7 @@
 
     Impl* loop_;
     int fd_;
-    Heard heard_;
+    ReceiveHandler heard_;
     ev_io io_{};
     bool* gone_ = nullptr;
 };
@@ -543,7 +545,7 @@
     ev_unref(impl_->ev);
 }
 
-std::unique_ptr<Listener> EvLoop::listen(const Address& address, Accept accept) {
+std::unique_ptr<Listener> EvLoop::listen(const Address& address, AcceptHandler accept) {
     const auto fail = [&](const char* what) {
         return std::runtime_error("can't listen on " + address.text() + ": " + what);
     };
@@ -563,11 +565,11 @@
 
 std::unique_ptr<Stream> EvLoop::dial(const Address& address, Time timeout, StreamHandler* handler) {
     const SocketAddress a = to_system(address);
-    if (a.size == 0) return std::make_unique<FailedStream>(this, address, Closing::unreachable, handler);
+    if (a.size == 0) return std::make_unique<FailedStream>(this, address, CloseReason::unreachable, handler);
     const int fd = ::socket(a.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return std::make_unique<FailedStream>(this, address, closing_of(errno), handler);
     if (::connect(fd, a.get(), a.size) != 0 && errno != EINPROGRESS) {
-        const Closing why = closing_of(errno);
+        const CloseReason why = closing_of(errno);
         ::close(fd);
         return std::make_unique<FailedStream>(this, address, why, handler);
     }
@@ -577,7 +579,8 @@
     return stream;
 }
 
-std::unique_ptr<Datagram> EvLoop::datagram(const Address& local, Datagram::Heard heard) {
+std::unique_ptr<DatagramSocket> EvLoop::open_datagram_socket(const Address& local,
+                                                             DatagramSocket::ReceiveHandler heard) {
     const auto fail = [&](const char* what) {
         return std::runtime_error("no datagrams at " + local.text() + ": " + what);
     };
@@ -590,7 +593,7 @@
         ::close(fd);
         throw fail(std::strerror(error));
     }
-    return std::make_unique<EvDatagram>(impl_.get(), fd, std::move(heard));
+    return std::make_unique<EvDatagramSocket>(impl_.get(), fd, std::move(heard));
 }
 
 std::uint64_t system_seed() {
--- a/src/io/ev/ev_loop.hpp
+++ b/src/io/ev/ev_loop.hpp
@@ -14,9 +14,10 @@
 
     Time now() const override;
     double wall_ms() const override;
-    std::unique_ptr<Listener> listen(const Address& address, Accept accept) override;
+    std::unique_ptr<Listener> listen(const Address& address, AcceptHandler accept) override;
     std::unique_ptr<Stream> dial(const Address& address, Time timeout, StreamHandler* handler) override;
-    std::unique_ptr<Datagram> datagram(const Address& local, Datagram::Heard heard) override;
+    std::unique_ptr<DatagramSocket> open_datagram_socket(const Address& local,
+                                                         DatagramSocket::ReceiveHandler heard) override;
     std::mt19937_64& random() override;
 
     // Runs until stop() is called. Signals named here call the handler on the loop.
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -33,17 +33,17 @@
     return Address{std::string(host), static_cast<std::uint16_t>(value)};
 }
 
-const char* name(Closing why) {
+const char* name(CloseReason why) {
     switch (why) {
-        case Closing::refused:
+        case CloseReason::refused:
             return "refused";
-        case Closing::unreachable:
+        case CloseReason::unreachable:
             return "unreachable";
-        case Closing::no_resources:
+        case CloseReason::no_resources:
             return "no resources";
-        case Closing::reset:
+        case CloseReason::reset:
             return "reset";
-        case Closing::clean:
+        case CloseReason::clean:
             return "clean";
     }
     return "?";
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -36,14 +36,14 @@
 };
 
 // Why a stream is over. Those before `reset` prove that the peer received nothing from it.
-enum class Closing {
+enum class CloseReason {
     refused,       // nobody listens there
     unreachable,   // no way there, or no answer before the dial's time was up
     no_resources,  // this process may not open another
     reset,         // broke, or the peer closed it while bytes of ours were under way
     clean          // both sides have ended
 };
-const char* name(Closing why);
+const char* name(CloseReason why);
 
 class Stream;
 
@@ -54,8 +54,8 @@
     virtual void on_open() {}                          // a dialled stream is connected
     virtual void on_data(std::string_view bytes) = 0;  // valid during the call only
     virtual void on_end() = 0;                         // the peer sends no more; we still may
-    virtual void on_drained() {}                       // everything written has left this process
-    virtual void on_closed(Closing why) = 0;
+    virtual void on_flushed() {}                       // everything written has left this process
+    virtual void on_closed(CloseReason why) = 0;
 };
 
 // One connection. Destroying it closes at once, unsent bytes are lost and the peer sees a reset; the
@@ -74,7 +74,7 @@
     virtual void resume() = 0;
     // Hands over, within this call, what has arrived and was not read yet, as far as one read takes it: a
     // connection that looks idle may have a request in its buffer. The handler may destroy the stream.
-    virtual void receive_arrived() = 0;
+    virtual void read_available() = 0;
     virtual Address peer() const = 0;
     virtual Address local() const = 0;
 };
@@ -89,10 +89,11 @@
 };
 
 // One socket for datagrams. What can't be sent is lost without a word, as on any network.
-class Datagram {
+class DatagramSocket {
   public:
-    using Heard = std::function<void(const Address& from, std::string_view bytes)>;  // bytes: during the call
-    virtual ~Datagram() = default;
+    using ReceiveHandler =
+        std::function<void(const Address& from, std::string_view bytes)>;  // bytes: during the call
+    virtual ~DatagramSocket() = default;
     virtual void send(const Address& to, std::string_view bytes) = 0;
     virtual Address address() const = 0;
 };
@@ -117,7 +118,7 @@
 class Loop {
   public:
     using Task = std::function<void()>;
-    using Accept = std::function<void(std::unique_ptr<Stream>)>;
+    using AcceptHandler = std::function<void(std::unique_ptr<Stream>)>;
 
     virtual ~Loop() = default;
     // Stands still during a callback.
@@ -131,12 +132,13 @@
     void post(Task task) { schedule(now(), std::move(task)); }
 
     // Throws std::runtime_error that names the address when it can't be had.
-    virtual std::unique_ptr<Listener> listen(const Address& address, Accept accept) = 0;
+    virtual std::unique_ptr<Listener> listen(const Address& address, AcceptHandler accept) = 0;
     // Never fails in the call: what goes wrong comes as on_closed, later. Bytes may be written at once.
     virtual std::unique_ptr<Stream> dial(const Address& address, Time timeout, StreamHandler* handler) = 0;
 
     // Port 0: any that is free. Throws std::runtime_error that names the address when it can't be had.
-    virtual std::unique_ptr<Datagram> datagram(const Address& local, Datagram::Heard heard) = 0;
+    virtual std::unique_ptr<DatagramSocket> open_datagram_socket(const Address& local,
+                                                                 DatagramSocket::ReceiveHandler heard) = 0;
 
     // The one source of randomness, seeded when the loop is made.
     virtual std::mt19937_64& random() = 0;
--- a/src/io/timers.hpp
+++ b/src/io/timers.hpp
@@ -24,8 +24,8 @@
     }
     bool empty() const { return queue_.empty(); }
     std::size_t size() const { return queue_.size(); }
-    Time first() const { return queue_.begin()->first.first; }
-    // The next task due, of those added before `before` (a mark from mark()); empty when there is none.
+    Time first_due() const { return queue_.begin()->first.first; }
+    // The next task due, of those added before `before` (a mark from last_id()); empty when there is none.
     Loop::Task take_due(Time now, std::uint64_t before) {
         if (queue_.empty()) return {};
         const auto it = queue_.begin();
@@ -35,7 +35,7 @@
         queue_.erase(it);
         return task;
     }
-    std::uint64_t mark() const { return last_; }
+    std::uint64_t last_id() const { return last_; }
 
   private:
     std::uint64_t last_ = 0;
--- a/src/io/virtual/world.cpp
+++ b/src/io/virtual/world.cpp
@@ -20,7 +20,7 @@
     bool open = false, paused = false, ending = false, end_sent = false, peer_ended = false, over = false;
 
     std::size_t left() const { return out.size() - taken; }
-    static void close(const std::shared_ptr<End>& end, Closing why) {
+    static void close(const std::shared_ptr<End>& end, CloseReason why) {
         World::in(*end->loop, [end, why] {
             if (end->over) return;
             end->over = true;
@@ -71,40 +71,41 @@
                     [&world, keep] { World::in(*keep->loop, [&world, keep] { drain(world, keep); }); });
     }
     // What arrives is handed over at once; it waits only while paused, or while its process stands still.
-    void receive_arrived() override {}
+    void read_available() override {}
     Address peer() const override { return end_->peer; }
     Address local() const override { return end_->local; }
 
     static void reset_other(World& world, End& e) {
         const auto other = e.other.lock();
         if (!other) return;
-        world.later(world.now() + world.delay(), [other] { End::close(other, Closing::reset); });
+        world.later(world.now() + world.delay(), [other] { End::close(other, CloseReason::reset); });
     }
     // Puts as much on the way as the window takes.
     static void pump(World& world, const std::shared_ptr<End>& end) {
         End& e = *end;
         const auto other = e.other.lock();
         if (e.over || !other) return;
-        const Weather& w = world.weather;
+        const NetworkConditions& w = world.network;
         const bool had = !e.out.empty();
         while (!e.out.empty() && e.in_flight < w.window) {
-            std::size_t most = std::min(w.largest_piece, e.left());
+            std::size_t most = std::min(w.max_piece_size, e.left());
             // Not in crumbs: a window that opens by a few bytes waits until a whole piece fits (RFC
             // 9293, 3.8.6).
             if (e.in_flight > 0 && w.window - e.in_flight < most) break;
             most = std::min(most, w.window - e.in_flight);
-            if (w.ragged) most = std::uniform_int_distribution<std::size_t>(1, most)(world.random_);
+            if (w.random_piece_sizes)
+                most = std::uniform_int_distribution<std::size_t>(1, most)(world.random_);
             std::string piece = e.out.substr(e.taken, most);
             e.taken += most;
             if (e.left() == 0) e.out.clear(), e.taken = 0;
             e.in_flight += most;
             e.last_arrival = std::max(e.last_arrival, world.now() + world.delay());
             const bool breaks =
-                w.reset_chance > 0 && std::bernoulli_distribution(w.reset_chance)(world.random_);
+                w.reset_probability > 0 && std::bernoulli_distribution(w.reset_probability)(world.random_);
             world.later(e.last_arrival, [&world, end, other, breaks, piece = std::move(piece)]() mutable {
                 if (breaks) {
-                    End::close(other, Closing::reset);
-                    End::close(end, Closing::reset);
+                    End::close(other, CloseReason::reset);
+                    End::close(end, CloseReason::reset);
                     return;
                 }
                 other->unread.push_back(std::move(piece));
@@ -123,14 +124,14 @@
         if (had && e.out.empty())
             world.later(world.now(), [end] {
                 World::in(*end->loop, [end] {
-                    if (!end->over && end->handler) end->handler->on_drained();
+                    if (!end->over && end->handler) end->handler->on_flushed();
                 });
             });
     }
     // Hands over what has arrived.
     static void drain(World& world, const std::shared_ptr<End>& end) {
         End& e = *end;
-        while (!e.over && !e.paused && !e.unread.empty() && !e.loop->dead()) {
+        while (!e.over && !e.paused && !e.unread.empty() && !e.loop->is_killed()) {
             const std::string piece = std::move(e.unread.front());
             e.unread.pop_front();
             if (piece.empty()) {
@@ -148,7 +149,7 @@
     }
     static void finish(World& world, const std::shared_ptr<End>& end) {
         if (end->peer_ended && end->end_sent)
-            world.later(world.now(), [end] { End::close(end, Closing::clean); });
+            world.later(world.now(), [end] { End::close(end, CloseReason::clean); });
     }
 
   private:
@@ -158,7 +159,7 @@
 
 class VirtualListener : public Listener {
   public:
-    VirtualListener(VirtualLoop& loop, Address address, Loop::Accept accept)
+    VirtualListener(VirtualLoop& loop, Address address, Loop::AcceptHandler accept)
         : loop_(loop), address_(std::move(address)), accept_(std::move(accept)) {
         loop_.world_.listeners_[address_] = this;
     }
@@ -177,32 +178,35 @@
 
     VirtualLoop& loop_;
     Address address_;
-    Loop::Accept accept_;
+    Loop::AcceptHandler accept_;
     bool paused_ = false;
     std::vector<Loop::Task> waiting_;
 };
 
-class VirtualDatagram : public Datagram {
+class VirtualDatagramSocket : public DatagramSocket {
   public:
-    VirtualDatagram(VirtualLoop& loop, Address address, Heard heard)
-        : loop_(loop), address_(std::move(address)), heard_(std::make_shared<Heard>(std::move(heard))) {
+    VirtualDatagramSocket(VirtualLoop& loop, Address address, ReceiveHandler heard)
+        : loop_(loop),
+          address_(std::move(address)),
+          heard_(std::make_shared<ReceiveHandler>(std::move(heard))) {
         loop_.world_.datagrams_[address_] = this;
     }
-    ~VirtualDatagram() override {
+    ~VirtualDatagramSocket() override {
         const auto it = loop_.world_.datagrams_.find(address_);
         if (it != loop_.world_.datagrams_.end() && it->second == this) loop_.world_.datagrams_.erase(it);
     }
     // Each goes its own way: one may overtake another.
     void send(const Address& to, std::string_view bytes) override {
         World& world = loop_.world_;
-        if (std::bernoulli_distribution(world.weather.datagram_loss)(world.random_)) return;
+        if (std::bernoulli_distribution(world.network.datagram_loss_probability)(world.random_)) return;
         world.later(world.now() + world.delay(), [&world, to, from = address_, text = std::string(bytes)] {
             const auto it = world.datagrams_.find(to);
             if (it == world.datagrams_.end()) return;
             // The socket may be gone when a process that stood still goes on.
-            World::in(it->second->loop_, [weak = std::weak_ptr<Heard>(it->second->heard_), from, text] {
-                if (const auto heard = weak.lock()) (*heard)(from, text);
-            });
+            World::in(it->second->loop_,
+                      [weak = std::weak_ptr<ReceiveHandler>(it->second->heard_), from, text] {
+                          if (const auto heard = weak.lock()) (*heard)(from, text);
+                      });
         });
     }
     Address address() const override { return address_; }
@@ -211,7 +215,7 @@
     friend class World;
     VirtualLoop& loop_;
     Address address_;
-    std::shared_ptr<Heard> heard_;
+    std::shared_ptr<ReceiveHandler> heard_;
 };
 
 World::World(std::uint64_t seed) : random_(seed) {}
@@ -225,7 +229,7 @@
 }
 
 Time World::delay() {
-    return std::uniform_real_distribution<double>(weather.least_delay, weather.most_delay)(random_);
+    return std::uniform_real_distribution<double>(network.min_delay, network.max_delay)(random_);
 }
 
 VirtualLoop& World::start(const std::string& name) {
@@ -269,17 +273,17 @@
 
 bool World::step() {
     if (tasks_.empty()) return false;
-    now_ = std::max(now_, tasks_.first());
+    now_ = std::max(now_, tasks_.first_due());
     steps_ += 1;
-    tasks_.take_due(now_, tasks_.mark())();
+    tasks_.take_due(now_, tasks_.last_id())();
     return true;
 }
 void World::run_until(Time when) {
-    while (!tasks_.empty() && tasks_.first() <= when) step();
+    while (!tasks_.empty() && tasks_.first_due() <= when) step();
     now_ = std::max(now_, when);
 }
-bool World::run_dry(std::uint64_t most_steps) {
-    for (std::uint64_t k = 0; k < most_steps; ++k)
+bool World::run_until_idle(std::uint64_t max_steps) {
+    for (std::uint64_t k = 0; k < max_steps; ++k)
         if (!step()) return true;
     return tasks_.empty();
 }
@@ -287,7 +291,7 @@
 VirtualLoop::VirtualLoop(World& world, std::string name, std::uint64_t seed)
     : world_(world), name_(std::move(name)), random_(seed) {}
 
-std::size_t VirtualLoop::streams() const {
+std::size_t VirtualLoop::open_stream_count() const {
     return std::count_if(ends_.begin(), ends_.end(), [](const auto& weak) {
         const auto end = weak.lock();
         return end && !end->over;
@@ -311,7 +315,7 @@
     if (live_.erase(id)) world_.tasks_.cancel(id);
 }
 
-std::unique_ptr<Listener> VirtualLoop::listen(const Address& address, Accept accept) {
+std::unique_ptr<Listener> VirtualLoop::listen(const Address& address, AcceptHandler accept) {
     Address at = address;
     if (at.port == 0) {
         do at.port = world_.next_port_++;
@@ -322,7 +326,8 @@
     return std::make_unique<VirtualListener>(*this, at, std::move(accept));
 }
 
-std::unique_ptr<Datagram> VirtualLoop::datagram(const Address& local, Datagram::Heard heard) {
+std::unique_ptr<DatagramSocket> VirtualLoop::open_datagram_socket(const Address& local,
+                                                                  DatagramSocket::ReceiveHandler heard) {
     Address at = local;
     if (at.port == 0) {
         do at.port = world_.next_port_++;
@@ -330,7 +335,7 @@
     }
     if (world_.datagrams_.count(at))
         throw std::runtime_error("no datagrams at " + at.text() + ": address already in use");
-    return std::make_unique<VirtualDatagram>(*this, at, std::move(heard));
+    return std::make_unique<VirtualDatagramSocket>(*this, at, std::move(heard));
 }
 
 std::unique_ptr<Stream> VirtualLoop::dial(const Address& address, Time timeout, StreamHandler* handler) {
@@ -340,7 +345,7 @@
     mine->handler = handler;
     mine->peer = address;
     mine->local = {"127.0.0.1", world.next_port_++};
-    if (ends_.size() > 64 && ends_.size() > 2 * streams())
+    if (ends_.size() > 64 && ends_.size() > 2 * open_stream_count())
         ends_.erase(std::remove_if(ends_.begin(), ends_.end(),
                                    [](const auto& weak) {
                                        const auto end = weak.lock();
@@ -350,13 +355,13 @@
     ends_.push_back(mine);
     const Time give_up = world.now() + timeout;
     world.later(give_up, [mine] {
-        if (!mine->open) End::close(mine, Closing::unreachable);
+        if (!mine->open) End::close(mine, CloseReason::unreachable);
     });
     const Time arrives = world.now() + world.delay();
     const auto knock = [&world, mine, address](auto&& again) -> void {
         const auto it = world.listeners_.find(address);
         if (it == world.listeners_.end()) {
-            world.later(world.now() + world.delay(), [mine] { End::close(mine, Closing::refused); });
+            world.later(world.now() + world.delay(), [mine] { End::close(mine, CloseReason::refused); });
             return;
         }
         VirtualListener& listener = *it->second;
--- a/src/io/virtual/world.hpp
+++ b/src/io/virtual/world.hpp
@@ -14,13 +14,13 @@
 namespace ivyfield::io {
 
 // How the network treats what is sent. All draws come from the world's seed.
-struct Weather {
-    Time least_delay = 0.05, most_delay = 0.3;  // of each piece, one way; order within a stream is kept
-    std::size_t largest_piece = 1460;  // writes are split and merged into pieces of 1 to so many bytes
-    bool ragged = false;               // pieces of any size up to the largest, not full ones
-    std::size_t window = 64 * 1024;    // sent and not yet read by the peer
-    double datagram_loss = 0;          // of each datagram
-    double reset_chance = 0;           // of each piece: both sides see a reset in its place
+struct NetworkConditions {
+    Time min_delay = 0.05, max_delay = 0.3;  // of each piece, one way; order within a stream is kept
+    std::size_t max_piece_size = 1460;       // writes are split and merged into pieces of 1 to so many bytes
+    bool random_piece_sizes = false;         // pieces of any size up to the largest, not full ones
+    std::size_t window = 64 * 1024;          // sent and not yet read by the peer
+    double datagram_loss_probability = 0;    // of each datagram
+    double reset_probability = 0;            // of each piece: both sides see a reset in its place
 };
 
 class VirtualLoop;
@@ -32,7 +32,7 @@
     World(const World&) = delete;
     World& operator=(const World&) = delete;
 
-    Weather weather;
+    NetworkConditions network;
     // A process. The reference is good until kill(); its listeners and streams must not outlive it.
     VirtualLoop& start(const std::string& name);
     // The process is gone: its timers never fire, peers of its streams see a reset, its ports are free.
@@ -47,7 +47,7 @@
     bool step();
     void run_until(Time when);
     // Runs until nothing is left to happen, at most so many steps; false when that was not enough.
-    bool run_dry(std::uint64_t most_steps);
+    bool run_until_idle(std::uint64_t max_steps);
 
     struct Pipe;
     struct End;
@@ -56,7 +56,7 @@
     friend class VirtualLoop;
     friend class VirtualStream;
     friend class VirtualListener;
-    friend class VirtualDatagram;
+    friend class VirtualDatagramSocket;
     void later(Time when, Loop::Task task) { tasks_.add(when, std::move(task)); }
     Time delay();
     // Runs the task in the process, or keeps it while that stands still; drops it when that is dead.
@@ -70,7 +70,7 @@
     std::map<std::string, std::unique_ptr<VirtualLoop>> loops_;
     std::vector<std::unique_ptr<VirtualLoop>> dead_;  // kept, for what still holds a reference
     std::map<Address, class VirtualListener*> listeners_;
-    std::map<Address, class VirtualDatagram*> datagrams_;
+    std::map<Address, class VirtualDatagramSocket*> datagrams_;
 };
 
 class VirtualLoop : public Loop {
@@ -78,14 +78,15 @@
     VirtualLoop(World& world, std::string name, std::uint64_t seed);
     Time now() const override { return world_.now_; }
     double wall_ms() const override { return 1.7e12 + world_.now_; }
-    std::unique_ptr<Listener> listen(const Address& address, Accept accept) override;
+    std::unique_ptr<Listener> listen(const Address& address, AcceptHandler accept) override;
     std::unique_ptr<Stream> dial(const Address& address, Time timeout, StreamHandler* handler) override;
-    std::unique_ptr<Datagram> datagram(const Address& local, Datagram::Heard heard) override;
+    std::unique_ptr<DatagramSocket> open_datagram_socket(const Address& local,
+                                                         DatagramSocket::ReceiveHandler heard) override;
     std::mt19937_64& random() override { return random_; }
     const std::string& name() const { return name_; }
-    bool dead() const { return dead_; }
-    std::size_t timers() const { return live_.size(); }
-    std::size_t streams() const;
+    bool is_killed() const { return dead_; }
+    std::size_t timer_count() const { return live_.size(); }
+    std::size_t open_stream_count() const;
 
   protected:
     std::uint64_t schedule(Time when, Task task) override;
@@ -95,7 +96,7 @@
     friend class World;
     friend class VirtualStream;
     friend class VirtualListener;
-    friend class VirtualDatagram;
+    friend class VirtualDatagramSocket;
     World& world_;
     std::string name_;
     std::mt19937_64 random_;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -10,7 +10,8 @@
 
 namespace ivyfield::log {
 
-Log::Log(const std::string& path, Level least, std::string name) : least_(least), name_(std::move(name)) {
+Log::Log(const std::string& path, Level min_level, std::string name)
+    : min_level_(min_level), name_(std::move(name)) {
     spdlog::sink_ptr sink;
     try {
         if (path.empty()) sink = std::make_shared<spdlog::sinks::null_sink_mt>();
@@ -27,7 +28,7 @@
 Log::~Log() { logger_->flush(); }
 
 void Log::write(Level level, double wall_ms, const char* event, const nlohmann::json& fields) {
-    if (level < least_) return;
+    if (level < min_level_) return;
     static constexpr const char* names[] = {"debug", "info", "warning", "error"};
     nlohmann::ordered_json line;
     line["t"] = std::llround(wall_ms);
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -16,7 +16,7 @@
 class Log {
   public:
     // "-" is standard error, "" nothing at all; else a file that is appended to. Throws std::runtime_error.
-    Log(const std::string& path, Level least, std::string name);
+    Log(const std::string& path, Level min_level, std::string name);
     ~Log();
     // "t" (milliseconds since 1970), "level", "name" and "event" come first, then the fields.
     void write(Level level, double wall_ms, const char* event, const nlohmann::json& fields);
@@ -24,7 +24,7 @@
 
   private:
     std::shared_ptr<spdlog::logger> logger_;
-    Level least_;
+    Level min_level_;
     std::string name_;
 };
 
--- a/src/measure/main.cpp
+++ b/src/measure/main.cpp
@@ -27,7 +27,7 @@
   public:
     FastNode(io::Loop& loop, io::Time plays) : loop_(loop), plays_(plays) {
         http::ServerLimits limits;
-        limits.idle = 600000;
+        limits.idle_timeout = 600000;
         server_ = std::make_unique<http::Server>(loop, io::Address{}, limits,
                                                  [this](const http::ExchangePtr& e) { serve(e); });
     }
@@ -111,8 +111,8 @@
     Load(io::Loop& loop, io::Address to, std::string path)
         : loop_(loop), to_(std::move(to)), path_(std::move(path)), client_(loop, [] {
               http::ClientLimits limits;
-              limits.per_address = 20000;
-              limits.idle = 600000;
+              limits.max_connections_per_address = 20000;
+              limits.idle_timeout = 600000;
               return limits;
           }()) {}
     void send() {
@@ -125,7 +125,7 @@
         calls_[id] =
             client_.send(to_, std::move(r), std::move(options), [this, id, began](const http::CallResult& c) {
                 done += 1;
-                good += c.end == http::CallEnd::response && c.response.status == 200;
+                good += c.outcome == http::CallOutcome::response && c.response.status == 200;
                 waits.push_back(loop_.now() - began);
                 const std::shared_ptr<http::Call> keep(std::move(calls_[id]));
                 calls_.erase(id);
@@ -147,7 +147,7 @@
         turn_();
     }
     std::size_t out() const { return calls_.size(); }
-    std::size_t connections() const { return client_.open(); }
+    std::size_t connections() const { return client_.open_connections(); }
     double wait_at(double part) {
         if (waits.empty()) return 0;
         std::sort(waits.begin(), waits.end());
@@ -171,7 +171,7 @@
 
 struct Rig {
     io::EvLoop loop{1};
-    std::string folder = io::temporary_folder();
+    std::string folder = io::create_temporary_folder();
     std::vector<std::unique_ptr<FastNode>> nodes;
     std::unique_ptr<standins::List> list;
     std::unique_ptr<io::Child> director;
@@ -257,7 +257,7 @@
     io::raise_file_limit();
     io::EvLoop loop(1);
     http::ServerLimits limits;
-    limits.connections = 50000;
+    limits.max_connections = 50000;
     const http::Server server(loop, io::Address::parse(listen), limits, [](const http::ExchangePtr& e) {
         http::Response r;
         r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
@@ -351,7 +351,7 @@
             void on_open() override { open = true; }
             void on_data(std::string_view) override {}
             void on_end() override {}
-            void on_closed(io::Closing) override { open = false; }
+            void on_closed(io::CloseReason) override { open = false; }
         };
         std::vector<std::unique_ptr<Quiet>> all;
         for (int k = 0; k < kMany; ++k) {
@@ -386,7 +386,7 @@
     CLI11_PARSE(app, argc, argv);
     try {
         if (!constant.empty()) return constant_server(constant);
-        return measure(io::own_program(), program, seconds);
+        return measure(io::executable_path(), program, seconds);
     } catch (const std::exception& e) {
         std::cerr << "ivyfield_measure: " << e.what() << "\n";
         return 1;
--- a/src/nodes/link.cpp
+++ b/src/nodes/link.cpp
@@ -191,7 +191,7 @@
     http::CallOptions options;
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;
-    options.fresh = true;
+    options.new_connection = true;
     Node* const at = &node;
     options.on_head = [this, at](const http::Response& head) {
         dial_over(*at);
@@ -217,10 +217,11 @@
     node.due =
         loop_.after(limits_.connect_timeout + limits_.account, [this, at] { stream_lost(*at, false); });
     node.account.stream_asked();
-    node.stream = client_.send(
-        node.address, std::move(request), std::move(options), [this, at](const http::CallResult& r) {
-            stream_lost(*at, r.end == http::CallEnd::not_connected && r.closing == io::Closing::refused);
-        });
+    node.stream = client_.send(node.address, std::move(request), std::move(options),
+                               [this, at](const http::CallResult& r) {
+                                   stream_lost(*at, r.outcome == http::CallOutcome::not_connected &&
+                                                        r.close_reason == io::CloseReason::refused);
+                               });
 }
 
 void NodeLink::heard(Node& node) {
@@ -426,8 +427,9 @@
             Node& at = *it->second;
             const std::shared_ptr<http::Call> self(std::move(at.release));
             loop_.post([self] {});
-            const bool answered = r.end == http::CallEnd::response && r.response.status == 200;
-            const bool nobody = r.end == http::CallEnd::not_connected && r.closing == io::Closing::refused;
+            const bool answered = r.outcome == http::CallOutcome::response && r.response.status == 200;
+            const bool nobody =
+                r.outcome == http::CallOutcome::not_connected && r.close_reason == io::CloseReason::refused;
             const auto named = std::move(at.releasing);
             at.releasing.clear();
             if (answered || nobody) {
@@ -473,7 +475,7 @@
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;  // the core's expiry ends it
     // A connection that its other side is closing just now would leave a paid set-up in doubt.
-    options.fresh = what.paid;
+    options.new_connection = what.paid;
     it->second->account.sent(key);
     set_ups_[key] = client_.send(
         it->second->address, std::move(request), std::move(options),
@@ -485,13 +487,13 @@
                 throw std::logic_error("a node was forgotten while a set-up was out there");
             NodeAccount& account = at->second->account;
             Outcome outcome = Outcome::error;
-            if (result.end == http::CallEnd::not_connected) outcome = Outcome::not_connected;
-            else if (result.end == http::CallEnd::broke) outcome = Outcome::reset;
-            else if (result.end == http::CallEnd::timed_out) outcome = Outcome::timed_out;
-            else if (result.end == http::CallEnd::response && result.response.status == 503 &&
+            if (result.outcome == http::CallOutcome::not_connected) outcome = Outcome::not_connected;
+            else if (result.outcome == http::CallOutcome::connection_lost) outcome = Outcome::reset;
+            else if (result.outcome == http::CallOutcome::timed_out) outcome = Outcome::timed_out;
+            else if (result.outcome == http::CallOutcome::response && result.response.status == 503 &&
                      result.response.headers.get("X-Ivyfield-Unseen") == "1")
                 outcome = Outcome::full;
-            if (result.end == http::CallEnd::response && result.response.status == 200) {
+            if (result.outcome == http::CallOutcome::response && result.response.status == 200) {
                 const json answer = json::parse(result.response.body, nullptr, false);
                 const auto text = [&answer](const char* field) {
                     const bool there = answer.is_object() && answer.contains(field);
@@ -578,18 +580,18 @@
                          commands_.erase(id);
                          Outcome outcome = Outcome::error;
                          LoadReport report;
-                         if (result.end == http::CallEnd::response && result.response.status == 200) {
+                         if (result.outcome == http::CallOutcome::response && result.response.status == 200) {
                              const json load = json::parse(result.response.body, nullptr, false);
                              if (load.is_object())
                                  outcome = Outcome::ended, report = report_of(load, settings_);
-                         } else if (result.end == http::CallEnd::not_connected) {
+                         } else if (result.outcome == http::CallOutcome::not_connected) {
                              outcome = Outcome::not_connected;
-                         } else if (result.end == http::CallEnd::timed_out) {
+                         } else if (result.outcome == http::CallOutcome::timed_out) {
                              outcome = Outcome::timed_out;
-                         } else if (result.end == http::CallEnd::broke) {
+                         } else if (result.outcome == http::CallOutcome::connection_lost) {
                              outcome = Outcome::reset;
                          }
-                         events_->probed(server, outcome, result.waited, report);
+                         events_->probed(server, outcome, result.elapsed, report);
                      });
 }
 
--- a/src/nodes/link.hpp
+++ b/src/nodes/link.hpp
@@ -75,7 +75,7 @@
     void probe(ServerId server) override;
 
     const LinkCounts& counts() const { return counts_; }
-    std::size_t connections() const { return client_.open(); }
+    std::size_t connections() const { return client_.open_connections(); }
     std::map<StreamState, std::size_t> streams() const;
     std::size_t attempts() const;  // in the accounts of all nodes
     std::size_t doubtful() const;
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -58,8 +58,8 @@
     bool idle() const { return open.empty() && !testing && !ending; }
     void on_open() override { owner.opened(*this); }
     void on_data(std::string_view bytes) override { owner.heard(*this, bytes); }
-    void on_end() override { owner.closed(*this, true, io::Closing::clean); }
-    void on_closed(io::Closing why) override { owner.closed(*this, up, why); }
+    void on_end() override { owner.closed(*this, true, io::CloseReason::clean); }
+    void on_closed(io::CloseReason why) override { owner.closed(*this, up, why); }
 };
 
 struct RelayNodes::Node {
@@ -277,11 +277,11 @@
 }
 
 // A dial that did not come up, or a connection that broke.
-void RelayNodes::closed(Connection& c, bool came_up, io::Closing why) {
+void RelayNodes::closed(Connection& c, bool came_up, io::CloseReason why) {
     if (c.gone) return;
-    const bool refused = why == io::Closing::refused, no_room = why == io::Closing::no_resources;
+    const bool refused = why == io::CloseReason::refused, no_room = why == io::CloseReason::no_resources;
     Node& node = c.node;
-    if (c.ending && why == io::Closing::clean) return drop(c);  // its node has sent all and ended it too
+    if (c.ending && why == io::CloseReason::clean) return drop(c);  // its node has sent all and ended it too
     lose(c);  // owned by dead_ until this returns to the loop
     counts_.resets += came_up;
     // Our own want of descriptors tells nothing of the node.
@@ -544,7 +544,7 @@
         if (const auto* fault = std::get_if<relay::Fault>(&*result)) {
             counts_.spoilt += 1;
             if (on_remark) on_remark("node " + c.node.known.uid + ": " + fault->why);
-            return closed(c, true, io::Closing::reset);
+            return closed(c, true, io::CloseReason::reset);
         }
         take(c, std::get<NodeMessage>(*result));
     }
@@ -564,7 +564,7 @@
     const std::string* sdp = m.find(Code::sdp);
     if (!sdp || !relay::utf8(*sdp)) {
         counts_.spoilt += 1;
-        closed(c, true, io::Closing::reset);
+        closed(c, true, io::CloseReason::reset);
         return false;
     }
     Node& node = c.node;
--- a/src/standins/list.cpp
+++ b/src/standins/list.cpp
@@ -50,7 +50,7 @@
 void List::serve(const http::ExchangePtr& e) {
     const http::Request& request = e->request();
     if (request.path() != "/v1/health/service/" + service_)
-        return e->respond(http::plain(404, "no such service"));
+        return e->respond(http::text_response(404, "no such service"));
     const std::string index = http::query_argument(request.query(), "index").value_or("0");
     std::string wait = http::query_argument(request.query(), "wait").value_or("300s");
     if (index != std::to_string(index_) && !(stale_ && index != "0")) return answer(e);
@@ -65,12 +65,12 @@
         waiting_.erase(id);
         answer(exchange);
     });
-    e->on_gone([this, id] { loop_.post([this, id] { waiting_.erase(id); }); });
+    e->on_disconnect([this, id] { loop_.post([this, id] { waiting_.erase(id); }); });
 }
 
 void List::answer(const http::ExchangePtr& e) {
-    if (e->gone()) return;
-    e->on_gone(nullptr);
+    if (e->is_disconnected()) return;
+    e->on_disconnect(nullptr);
     json body = json::array();
     Tap t;
     t.what = "list_sent";
--- a/src/standins/list.hpp
+++ b/src/standins/list.hpp
@@ -26,7 +26,7 @@
     void set(const Listed& one);
     void remove(const std::string& id);
     void late(io::Time by) { late_ = by; }
-    void hang(bool on) { on ? server_.freeze() : server_.thaw(); }
+    void hang(bool on) { on ? server_.pause() : server_.resume(); }
     // Answers go on with what was known when this began, as an agent cut off from its servers gives them.
     void stale(bool on);
 
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -82,7 +82,7 @@
     };
     for (std::size_t rung = 0; rung < settings_.rung_kb.size(); ++rung) {
         const std::string path = settings_.media + "/" + std::to_string(rung) + "/index.m3u8";
-        titles_.push_back(read(path, hls::read_media));
+        titles_.push_back(read(path, hls::parse_media_playlist));
         for (const hls::Segment& s : titles_.back().segments)
             if (s.uri.find('/') != std::string::npos)
                 throw std::runtime_error(path + ": segment \"" + s.uri + "\" does not lie beside it");
@@ -90,7 +90,7 @@
     const std::string master = settings_.media + "/master.m3u8";
     renditions_.resize(settings_.rung_kb.size());
     if (!file_text(master)) return;
-    for (const hls::Variant& v : read(master, hls::read_master))
+    for (const hls::Variant& v : read(master, hls::parse_master_playlist))
         for (std::size_t rung = 0; rung < renditions_.size(); ++rung)
             if (v.uri == std::to_string(rung) + "/index.m3u8") renditions_[rung] = v;
 }
@@ -115,7 +115,7 @@
     fleet_.start(number_, loop_.now(), warm);
     boot_ = hex(loop_.random()());
     http::ServerLimits limits;
-    limits.stuck = 5000;
+    limits.write_timeout = 5000;
     server_ = std::make_unique<http::Server>(loop_, address_, limits,
                                              [this](const http::ExchangePtr& e) { serve(e); });
     address_ = server_->address();
@@ -157,8 +157,8 @@
     Tap t;
     t.what = on ? "hang" : "thaw";
     tap(t);
-    if (on) return server_->freeze();
-    server_->thaw();
+    if (on) return server_->pause();
+    server_->resume();
     const auto work = std::move(stopped_);
     stopped_.clear();
     for (const auto& one : work) one();
@@ -190,9 +190,9 @@
     }
     if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "events" && method == "GET") return events(e);
     if (parts.size() == 4 && parts[0] == "media")
-        return http::is_preflight(e->request()) ? e->respond(http::preflight_answer(kAllowed, 7200))
+        return http::is_preflight(e->request()) ? e->respond(http::preflight_response(kAllowed, 7200))
                                                 : media(e, parts);
-    e->respond(http::plain(404, "nothing here"));
+    e->respond(http::text_response(404, "nothing here"));
 }
 
 void Node::after(io::Time wait, std::function<void()> task) {
@@ -228,7 +228,7 @@
         if (t.rung < 0 || t.rung >= static_cast<int>(settings_.rung_kb.size()))
             throw std::invalid_argument("rung is not on the ladder");
     } catch (const std::exception& why) {
-        return e->respond(http::plain(400, why.what()));
+        return e->respond(http::text_response(400, why.what()));
     }
     const Key key{t.director, t.session, t.attempt};
     tap(t);
@@ -249,7 +249,7 @@
     const auto chance = [this](double p) { return p > 0 && std::bernoulli_distribution(p)(loop_.random()); };
     if (chance(fail_)) {
         over(500, "error");
-        return e->respond(http::plain(500, "this node is broken"));
+        return e->respond(http::text_response(500, "this node is broken"));
     }
     switch (fleet_.set_up(number_, loop_.now())) {
         case fleet::SetUpVerdict::fell: {
@@ -258,7 +258,7 @@
             tap(fell);
             over(0, "broke");
             loop_.post([this] { crash(); });
-            return e->break_off();
+            return e->abort_connection();
         }
         case fleet::SetUpVerdict::full: {
             http::Response r = json_response(503, {{"why", "full"}});
@@ -271,7 +271,7 @@
     }
     auto setting = std::make_unique<Setting>();
     setting->exchange = e;
-    e->on_gone([this, key, over] {
+    e->on_disconnect([this, key, over] {
         // The director has called it off, or died: what was not done yet is not done.
         const auto it = setting_.find(key);
         over(0, "gone");
@@ -321,15 +321,15 @@
     const std::string token = session->token;
     sessions_.emplace(key, std::move(session));
     const http::ExchangePtr e = setting->exchange;
-    if (!e || e->gone()) return;
-    e->on_gone(nullptr);
+    if (!e || e->is_disconnected()) return;
+    e->on_disconnect(nullptr);
     Tap over = from;
     over.what = "setup_over";
     if (lose_ > 0 && std::bernoulli_distribution(lose_)(loop_.random())) {
         // Held open unanswered: the director's own time must end it.
         over.answer = "lost";
         auto held = std::make_shared<http::ExchangePtr>(e);
-        e->on_gone([this, over, held] {
+        e->on_disconnect([this, over, held] {
             tap(over);
             held->reset();
         });
@@ -347,7 +347,7 @@
 
 void Node::command(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
     const auto session = number_of(parts[3]), attempt = number_of(parts[4]);
-    if (!session || !attempt) return e->respond(http::plain(400, "not a session and attempt"));
+    if (!session || !attempt) return e->respond(http::text_response(400, "not a session and attempt"));
     const Key key{parts[2], *session, static_cast<int>(*attempt)};
     const std::string& method = e->request().method;
     const auto it = sessions_.find(key);
@@ -357,15 +357,15 @@
         let_go(key);
         return e->respond({204, {}, ""});
     }
-    if (it == sessions_.end()) return e->respond(http::plain(404, "no such session"));
+    if (it == sessions_.end()) return e->respond(http::text_response(404, "no such session"));
     Session& s = *it->second;
     if (method == "PUT" && parts.size() == 6 && parts[5] == "rung") {
         const json body = json::parse(e->request().body, nullptr, false);
         if (!body.is_object() || !body.contains("rung") || !body.at("rung").is_number_integer())
-            return e->respond(http::plain(400, "no rung"));
+            return e->respond(http::text_response(400, "no rung"));
         const int rung = body.at("rung").get<int>();
         if (rung < 0 || rung >= static_cast<int>(settings_.rung_kb.size()))
-            return e->respond(http::plain(400, "rung is not on the ladder"));
+            return e->respond(http::text_response(400, "rung is not on the ladder"));
         s.rung = rung;
         fleet_.set_rung(number_, s.stream, rung, kb(s.cls, rung));
         t.what = "rung", t.rung = rung, t.cls = s.cls, t.sid = s.sid;
@@ -377,7 +377,7 @@
         end(key, "cancelled");
         return e->respond({204, {}, ""});
     }
-    e->respond(http::plain(405, "not this"));
+    e->respond(http::text_response(405, "not this"));
 }
 
 void Node::release(const http::ExchangePtr& e, const std::string& director) {
@@ -387,7 +387,7 @@
         for (const json& one : body.at("sessions"))
             keys.emplace_back(director, one.at(0).get<std::uint64_t>(), one.at(1).get<int>());
     } catch (const std::exception& why) {
-        return e->respond(http::plain(400, why.what()));
+        return e->respond(http::text_response(400, why.what()));
     }
     for (const Key& key : keys) let_go(key);
     e->respond(json_response(200, json::object()));
@@ -444,11 +444,11 @@
 void Node::events(const http::ExchangePtr& e) {
     const std::string_view query = e->request().query();
     const auto director = http::query_argument(query, "director");
-    if (!director || director->empty()) return e->respond(http::plain(400, "no director"));
+    if (!director || director->empty()) return e->respond(http::text_response(400, "no director"));
     if (http::query_argument(query, "protocol").value_or("1") != "2")
-        return e->respond(http::plain(400, "this node speaks protocol 2 (docs/node-protocol.md)"));
+        return e->respond(http::text_response(400, "this node speaks protocol 2 (docs/node-protocol.md)"));
     if (tellers_.size() >= 2000 && !tellers_.count(*director))
-        return e->respond(http::plain(503, "too many directors"));
+        return e->respond(http::text_response(503, "too many directors"));
     Teller& teller = tellers_[*director];
     const auto since = number_of(http::query_argument(query, "since").value_or(""));
     const bool resumes = since && http::query_argument(query, "boot").value_or("") == boot_ &&
@@ -488,7 +488,7 @@
     e->write(out);
     teller.lease.stop();
     teller.stream = e;  // one a director: an older one is dropped and so closed
-    e->on_gone([this, director = *director, raw = e.get()] {
+    e->on_disconnect([this, director = *director, raw = e.get()] {
         const auto it = tellers_.find(director);
         if (it == tellers_.end() || it->second.stream.get() != raw) return;
         const http::ExchangePtr keep = std::move(it->second.stream);
@@ -508,7 +508,7 @@
 }
 void Node::tell(const std::string& director, const std::string& line) {
     const auto it = tellers_.find(director);
-    if (it != tellers_.end() && it->second.stream && !it->second.stream->gone())
+    if (it != tellers_.end() && it->second.stream && !it->second.stream->is_disconnected())
         it->second.stream->write(line + "\n");
 }
 void Node::tick() {
@@ -516,7 +516,7 @@
     if (hung_) return;
     const double share = fleet_.delivered(number_, loop_.now());
     for (auto& [director, teller] : tellers_) {
-        if (!teller.stream || teller.stream->gone()) continue;
+        if (!teller.stream || teller.stream->is_disconnected()) continue;
         tell(director, "{\"event\":\"tick\"}");
         if (share >= 0.98 && !teller.was_short) continue;
         teller.was_short = share < 0.98;
@@ -549,7 +549,7 @@
     const auto it = tokens_.find(parts[1]);
     if (it == tokens_.end()) {
         // Moved, or over: back to the director with the same sid.
-        http::Response r = http::plain(410, "this session is over here; ask the director again");
+        http::Response r = http::text_response(410, "this session is over here; ask the director again");
         if (moved_.count(parts[1])) r.headers.add("X-Ivyfield-Moved", "1");
         http::allow_any_origin(r.headers, kExposed);
         return e->respond(r);
@@ -558,7 +558,8 @@
     Session& s = *sessions_.at(key);
     s.idle = loop_.after(settings_.idle, [this, key] { end(key, "ended"); });
     const auto rung = number_of(parts[2]);
-    if (!rung || *rung >= settings_.rung_kb.size()) return e->respond(http::plain(404, "no such rung"));
+    if (!rung || *rung >= settings_.rung_kb.size())
+        return e->respond(http::text_response(404, "no such rung"));
     const io::Time now = loop_.now();
     const double share = fleet_.delivered(number_, now);
     hints::Keys keys;
@@ -569,23 +570,23 @@
     http::allow_any_origin(r.headers, kExposed);
     if (parts[3] == "index.m3u8" && !titles_.empty()) {
         r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
-        r.headers.add("CMSD-Dynamic", hints::encode_dynamic({{settings_.name, keys}}));
+        r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
         hls::MediaPlaylist shown = titles_.at(*rung);
         if (live(s.cls)) shown = hls::live_window(shown, now / 1000, 3);
         else shown.ended = true;
-        r.body = hls::write(shown);
+        r.body = hls::write_media_playlist(shown);
         return e->respond(r);
     }
     if (parts[3] == "index.m3u8") {
         const auto first = static_cast<std::uint64_t>(now / settings_.segment);
         r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
-        r.headers.add("CMSD-Dynamic", hints::encode_dynamic({{settings_.name, keys}}));
+        r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
         hls::MediaPlaylist list;
         list.version = 6;
-        list.sequence = first;
+        list.media_sequence = first;
         for (std::uint64_t k = first; k < first + 3; ++k)
             list.segments.push_back({settings_.segment / 1000, std::to_string(k) + ".ts", false});
-        r.body = hls::write(list);
+        r.body = hls::write_media_playlist(list);
         return e->respond(r);
     }
     io::Time length = settings_.segment;
@@ -593,7 +594,7 @@
     if (titles_.empty()) {
         const std::size_t dot = parts[3].find('.');
         if (!number_of(parts[3].substr(0, dot)) || parts[3].substr(std::min(dot, parts[3].size())) != ".ts")
-            return e->respond(http::plain(404, "no such segment"));
+            return e->respond(http::text_response(404, "no such segment"));
         const double bytes = kb(s.cls, static_cast<int>(*rung)) * settings_.segment * settings_.byte_part;
         r.body.assign(static_cast<std::size_t>(std::max(1.0, bytes)), 'x');
     } else {
@@ -602,9 +603,9 @@
         const auto found = std::find_if(title.segments.begin(), title.segments.end(),
                                         [&](const hls::Segment& one) { return one.uri == parts[3]; });
         if (found == title.segments.end() && parts[3] != title.map_uri)
-            return e->respond(http::plain(404, "no such segment"));
+            return e->respond(http::text_response(404, "no such segment"));
         auto bytes = file_text(settings_.media + "/" + parts[2] + "/" + parts[3]);
-        if (!bytes) return e->respond(http::plain(404, "no such file in the media folder"));
+        if (!bytes) return e->respond(http::text_response(404, "no such file in the media folder"));
         r.body = std::move(*bytes);
         length = found == title.segments.end() ? 0 : found->duration_s * 1000;
         if (!ends_with(parts[3], ".ts")) type = "video/mp4";
@@ -614,7 +615,7 @@
     // the first byte waits for the excess.
     const io::Time excess = std::min(20000.0, length * (1 / std::max(share, 0.05) - 1));
     keys.values["rd"] = static_cast<std::int64_t>(std::llround(excess));
-    r.headers.add("CMSD-Dynamic", hints::encode_dynamic({{settings_.name, keys}}));
+    r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
     if (excess < 1) return e->respond(r);
     after(excess, [e, r] { e->respond(r); });
 }
--- a/src/standins/player.cpp
+++ b/src/standins/player.cpp
@@ -93,7 +93,7 @@
     http::CallOptions options;
     options.connect_timeout = 1000;
     options.timeout = 0;
-    options.fresh = true;
+    options.new_connection = true;
     const auto number = static_cast<std::uint64_t>(result_.tries);
     call_ = client_.send(address, request(), options,
                          [this, number](const http::CallResult& r) { answered(number, r); });
@@ -107,7 +107,7 @@
         });
         second_ = client_.send(address, request(), options, [this](const http::CallResult& r) {
             Tap t = tap_of("answer_again");
-            t.status = r.end == http::CallEnd::response ? r.response.status : 0;
+            t.status = r.outcome == http::CallOutcome::response ? r.response.status : 0;
             tap_(t);
             twin_due_.stop();
             const std::shared_ptr<http::Call> keep(std::move(second_));
@@ -140,12 +140,12 @@
     patience_.stop();
     leave_.stop();
     Tap t = tap_of("answer");
-    t.status = r.end == http::CallEnd::response ? r.response.status : 0;
-    t.answer = r.end != http::CallEnd::response ? http::name(r.end)
-               : t.status == 200                ? "plays"
-               : t.status == 503                ? "refused"
-               : t.status == 504                ? "failed"
-                                                : "other";
+    t.status = r.outcome == http::CallOutcome::response ? r.response.status : 0;
+    t.answer = r.outcome != http::CallOutcome::response ? http::name(r.outcome)
+               : t.status == 200                        ? "plays"
+               : t.status == 503                        ? "refused"
+               : t.status == 504                        ? "failed"
+                                                        : "other";
     tap_(t);
     if (t.answer == "plays") {
         // The first variant, as RFC 8216 lets a player begin with.
@@ -216,13 +216,13 @@
 void Viewer::segment_came(const http::CallResult& r) {
     const std::shared_ptr<http::Call> keep(std::move(media_));
     loop_.post([keep] {});
-    if (r.end != http::CallEnd::response || r.response.status != 200) {
+    if (r.outcome != http::CallOutcome::response || r.response.status != 200) {
         // Moved, over, or the node is lost: back to a director with the same sid.
         const bool moved =
-            r.end == http::CallEnd::response && r.response.headers.get("X-Ivyfield-Moved") == "1";
+            r.outcome == http::CallOutcome::response && r.response.headers.get("X-Ivyfield-Moved") == "1";
         if (moved) result_.moves += 1;
         else result_.broke += 1;
-        if (r.end == http::CallEnd::timed_out && ++misses_ < 3) return fetch();
+        if (r.outcome == http::CallOutcome::timed_out && ++misses_ < 3) return fetch();
         if (moved) {
             pause_ = loop_.after(300, [this] { ask(); });
             return;
@@ -230,14 +230,14 @@
         return again(0);
     }
     misses_ = 0;
-    const io::Time took = std::max(r.waited, 1.0);
+    const io::Time took = std::max(r.elapsed, 1.0);
     const double share = std::min(1.0, s_.segment / std::max(s_.segment, took));
     const double lost = share < 0.98 ? (0.98 - share) * s_.short_points : 0;
     const double played = std::min(s_.segment, ends_ - segment_began_) / 1000;
     result_.earned +=
         s_.worth * s_.rung_worth.at(static_cast<std::size_t>(rung_)) * played * std::max(0.0, 1 - lost);
     // The node's word on the rate; a change is the director's.
-    const auto dynamic = hints::decode_dynamic(r.response.headers.all("CMSD-Dynamic"));
+    const auto dynamic = hints::decode_cmsd_dynamic(r.response.headers.get_all("CMSD-Dynamic"));
     for (const auto& entry : dynamic.entries)
         if (const auto mb = entry.keys.integer("mb")) {
             int best = 0;
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -126,7 +126,7 @@
                 const std::shared_ptr<http::Call> keep(std::move(calls_[call]));
                 calls_.erase(call);
                 if (s->answered) return;
-                if (c.end == http::CallEnd::response && c.response.status == 200)
+                if (c.outcome == http::CallOutcome::response && c.response.status == 200)
                     return answer(s, 200, json::parse(c.response.body)["media"]);
                 const bool again =
                     (slip_ == Slip::repeats_paid && s->paid) || (slip_ == Slip::over_budget && !s->paid);
--- a/tests/discovery/consul_test.cpp
+++ b/tests/discovery/consul_test.cpp
@@ -101,7 +101,7 @@
     answer("not json", "7");
     run(3000);
     ASSERT_FALSE(held.empty());
-    held.back()->respond(http::plain(500, "No cluster leader"));
+    held.back()->respond(http::text_response(500, "No cluster leader"));
     run(10000);
     EXPECT_EQ(lists, (std::vector<std::size_t>{1}));
     EXPECT_EQ(consul->counts().failures, 3u);
--- a/tests/discovery/srv_heap_test.cpp
+++ b/tests/discovery/srv_heap_test.cpp
@@ -55,12 +55,13 @@
     io::World world(3);
     io::VirtualLoop& names = world.start("names");
     std::size_t answers = 0;
-    std::unique_ptr<io::Datagram> server;
-    server = names.datagram({"127.0.0.1", 5300}, [&](const io::Address& from, std::string_view query) {
-        answer[0] = query[0], answer[1] = query[1];
-        answers += 1;
-        server->send(from, answer);
-    });
+    std::unique_ptr<io::DatagramSocket> server;
+    server =
+        names.open_datagram_socket({"127.0.0.1", 5300}, [&](const io::Address& from, std::string_view query) {
+            answer[0] = query[0], answer[1] = query[1];
+            answers += 1;
+            server->send(from, answer);
+        });
     std::size_t whole = 0;
     discovery::SrvList list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
                             {[&](const auto&) { whole += 1; }, [&] { whole += 1; }});
--- a/tests/fronts/front_test.cpp
+++ b/tests/fronts/front_test.cpp
@@ -43,7 +43,7 @@
         run(500);
     }
     void TearDown() override {
-        if (!there.dead()) world.kill(there);
+        if (!there.is_killed()) world.kill(there);
         director.reset();
     }
     void add_node(int k) {
@@ -101,7 +101,7 @@
                    (cmcd.empty() ? "" : "?CMCD=" + http::percent_encode(cmcd));
         r.headers = std::move(headers);
         http::CallOptions options;
-        options.timeout = 0, options.fresh = true;
+        options.timeout = 0, options.new_connection = true;
         out->call = client.send(kDirector, r, options, [at = out.get()](http::CallResult c) {
             at->result = std::move(c);
             at->answers += 1;
@@ -113,7 +113,7 @@
             std::count_if(taps.begin(), taps.end(), [&](const auto& t) { return t.what == what; }));
     }
     std::int64_t mb(const http::Response& r) {
-        const auto d = hints::decode_dynamic(r.headers.all("CMSD-Dynamic"));
+        const auto d = hints::decode_cmsd_dynamic(r.headers.get_all("CMSD-Dynamic"));
         return d.entries.empty() ? -1 : d.entries.back().keys.integer("mb").value_or(-1);
     }
     std::string media(const http::Response& r) {
@@ -148,13 +148,13 @@
     EXPECT_FALSE(done);
     run(1000);
     for (const auto* asked : {under_way.get(), late.get()}) {
-        EXPECT_EQ(asked->result.end, http::CallEnd::response);
+        EXPECT_EQ(asked->result.outcome, http::CallOutcome::response);
         EXPECT_EQ(asked->result.response.status, 200) << asked->result.response.body;
     }
     EXPECT_TRUE(done);
     const auto after = ask("prep", "sid=\"c\"");
     run(300);
-    EXPECT_EQ(after->result.end, http::CallEnd::not_connected) << "nobody listens any more";
+    EXPECT_EQ(after->result.outcome, http::CallOutcome::not_connected) << "nobody listens any more";
 }
 
 TEST_F(PathTest, PlaysWithAPlaylistAtTheNodeAndHints) {
@@ -233,7 +233,7 @@
         std::string got;
         void on_data(std::string_view b) override { got += b; }
         void on_end() override {}
-        void on_closed(io::Closing) override {}
+        void on_closed(io::CloseReason) override {}
     } raw;
     raw.stream = rig.dial(kDirector, 1000, &raw);
     raw.stream->write("GET /v1/watch/t/prep/x/master.m3u8?CMCD=sid%3D%22h%22 HTTP/1.1\r\nHost: d\r\n\r\n");
@@ -267,7 +267,7 @@
     run(2000);
     EXPECT_EQ(a->result.response.status, 503);
     EXPECT_TRUE(a->result.response.headers.get("Retry-After"));
-    const auto d = hints::decode_dynamic(a->result.response.headers.all("CMSD-Dynamic"));
+    const auto d = hints::decode_cmsd_dynamic(a->result.response.headers.get_all("CMSD-Dynamic"));
     ASSERT_EQ(d.entries.size(), 1u);
     EXPECT_TRUE(d.entries[0].keys.flag("du"));
 }
@@ -277,7 +277,7 @@
     const std::string where = media(a->result.response);
     const std::size_t lost = where.find(":9000/") != std::string::npos ? 0 : 1;
     nodes[lost]->crash();
-    EXPECT_EQ(fetch(where).end, http::CallEnd::not_connected);
+    EXPECT_EQ(fetch(where).outcome, http::CallOutcome::not_connected);
     run(3000);
     EXPECT_EQ(director->engine().playing(), 0u);
     EXPECT_EQ(director->engine().counts().reset, 1u);
--- a/tests/hints/hints_test.cpp
+++ b/tests/hints/hints_test.cpp
@@ -76,22 +76,23 @@
     EXPECT_EQ(encode("cmcd", json), payload + "\n");
 }
 TEST(Cmcd, AMalformedKeyIsDroppedAlone) {
-    const Decoded d = decode_keys(Vocabulary::cmcd,
-                                  "bl=abc,br=3200.5,ot=zz,sf=\"h\",sid=\"ok\",nrr=\"9-1\",unknown=1,BAD=1,su="
-                                  "1,,d=-4,x-y=(1 2),tb=5;a=1");
+    const DecodedKeys d =
+        decode_keys(Vocabulary::cmcd,
+                    "bl=abc,br=3200.5,ot=zz,sf=\"h\",sid=\"ok\",nrr=\"9-1\",unknown=1,BAD=1,su="
+                    "1,,d=-4,x-y=(1 2),tb=5;a=1");
     EXPECT_EQ(d.keys.values.size(), 1u);
     EXPECT_EQ(d.keys.text("sid"), "ok");
     EXPECT_EQ(d.dropped.size(), 12u);
-    for (const Dropped& one : d.dropped) EXPECT_FALSE(one.why.empty()) << one.key;
+    for (const DroppedKey& one : d.dropped) EXPECT_FALSE(one.reason.empty()) << one.key;
 }
 TEST(Cmcd, AnOpenQuoteTakesWhatFollowsButNotWhatStoodBefore) {
-    const Decoded d = decode_keys(Vocabulary::cmcd, "br=100,sid=\"abc,su,tb=9");
+    const DecodedKeys d = decode_keys(Vocabulary::cmcd, "br=100,sid=\"abc,su,tb=9");
     EXPECT_EQ(d.keys.integer("br"), 100);
     EXPECT_EQ(d.keys.values.size(), 1u);
     EXPECT_EQ(d.dropped.size(), 1u);
 }
 TEST(Cmcd, CommasAndEscapesInsideStrings) {
-    const Decoded d = decode_keys(Vocabulary::cmcd, "sid=\"a,b\\\"c\\\\\",su");
+    const DecodedKeys d = decode_keys(Vocabulary::cmcd, "sid=\"a,b\\\"c\\\\\",su");
     EXPECT_EQ(d.keys.text("sid"), "a,b\"c\\");
     EXPECT_TRUE(d.keys.flag("su"));
 }
@@ -101,8 +102,8 @@
     EXPECT_EQ(decode_keys(Vocabulary::cmcd, std::string(100000, ',')).dropped.size(), 1u);
     std::string many;
     for (int k = 0; k < 500; ++k) many += (k ? ",a-" : "a-") + std::to_string(k);
-    const Decoded d = decode_keys(Vocabulary::cmcd, many);
-    EXPECT_EQ(d.keys.values.size(), kMostKeys);
+    const DecodedKeys d = decode_keys(Vocabulary::cmcd, many);
+    EXPECT_EQ(d.keys.values.size(), kMaxKeys);
     EXPECT_EQ(d.dropped.size(), 1u);
 }
 TEST(Cmcd, RoundingAndWhatIsLeftOut) {
@@ -122,7 +123,7 @@
     CmcdSources s;
     s.payload[static_cast<int>(Carrier::session)] = "sid=\"a\",st=v";
     s.payload[static_cast<int>(Carrier::query)] = "sid=\"b\",st=v,br=1";
-    const Decoded d = decode_cmcd(s);
+    const DecodedKeys d = decode_cmcd(s);
     EXPECT_FALSE(d.keys.has("sid"));
     EXPECT_EQ(d.keys.text("st"), "v");
     EXPECT_EQ(d.keys.integer("br"), 1);
@@ -145,9 +146,10 @@
 }
 TEST(CmsdDynamic, EntriesOfEarlierHopsAreKept) {
     const std::string earlier = "\"CDNB-3ak1\";etp=96;rtt=8,\"odd\";zz;etp=x";
-    const std::string all = append_dynamic(earlier, {"ivyfield", decode_keys(Vocabulary::cmcd, "").keys});
+    const std::string all =
+        append_cmsd_dynamic(earlier, {"ivyfield", decode_keys(Vocabulary::cmcd, "").keys});
     EXPECT_EQ(all, earlier + ", \"ivyfield\"");
-    const DecodedEntries d = decode_dynamic(all);
+    const DecodedCmsdEntries d = decode_cmsd_dynamic(all);
     ASSERT_EQ(d.entries.size(), 3u);
     EXPECT_EQ(d.entries[0].keys.integer("etp"), 96);
     EXPECT_TRUE(d.entries[1].keys.values.empty());
--- a/tests/hls/playlist_test.cpp
+++ b/tests/hls/playlist_test.cpp
@@ -11,8 +11,8 @@
 
 std::string why(const std::string& text, bool master = false) {
     try {
-        if (master) read_master(text);
-        else read_media(text);
+        if (master) parse_master_playlist(text);
+        else parse_media_playlist(text);
     } catch (const std::invalid_argument& e) {
         return e.what();
     }
@@ -20,7 +20,7 @@
 }
 
 TEST(Playlist, APackagersMediaPlaylistIsReadAndWritten) {
-    const auto p = read_media(
+    const auto p = parse_media_playlist(
         "#EXTM3U\r\n#EXT-X-VERSION:7\r\n#EXT-X-TARGETDURATION:4\r\n#EXT-X-MEDIA-SEQUENCE:0\r\n"
         "#EXT-X-MAP:URI=\"init.mp4\"\r\n#EXT-X-SOMETHING-NEW:1\r\n# a remark\r\n"
         "#EXTINF:4.000000,\r\na.m4s\r\n#EXTINF:3.48,a title, with a comma\r\nb.m4s\r\n#EXT-X-ENDLIST\r\n");
@@ -28,19 +28,19 @@
     EXPECT_DOUBLE_EQ(p.segments[1].duration_s, 3.48);
     EXPECT_EQ(p.map_uri, "init.mp4");
     EXPECT_TRUE(p.ended);
-    const std::string out = write(p);
+    const std::string out = write_media_playlist(p);
     EXPECT_NE(out.find("#EXT-X-TARGETDURATION:4\n"), std::string::npos);
-    EXPECT_EQ(write(read_media(out)), out);
+    EXPECT_EQ(write_media_playlist(parse_media_playlist(out)), out);
 }
 TEST(Playlist, AMasterPlaylistsCodecsAndSizesAreRead) {
-    const auto v = read_master(
+    const auto v = parse_master_playlist(
         "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1280000,CODECS=\"avc1.4d401f,mp4a.40.2\",RESOLUTION=640x360\n"
         "0/index.m3u8\n#EXT-X-STREAM-INF:AVERAGE-BANDWIDTH=9,BANDWIDTH=10\n1/index.m3u8\n");
     ASSERT_EQ(v.size(), 2u);
     EXPECT_EQ(v[0].codecs, "avc1.4d401f,mp4a.40.2");
     EXPECT_EQ(v[0].resolution, "640x360");
     EXPECT_EQ(v[1].average_bandwidth, 9);
-    EXPECT_EQ(read_master(write_master(v))[0].codecs, v[0].codecs);
+    EXPECT_EQ(parse_master_playlist(write_master_playlist(v))[0].codecs, v[0].codecs);
 }
 TEST(Playlist, BadOnesNameLineAndReason) {
     EXPECT_EQ(why("hello\n"), "line 1: a playlist begins with #EXTM3U");
@@ -61,7 +61,7 @@
     const auto names = [](const MediaPlaylist& p) {
         std::string out;
         for (const Segment& s : p.segments) out += (s.discontinuity ? "|" : "") + s.uri;
-        return std::to_string(p.sequence) + ":" + out;
+        return std::to_string(p.media_sequence) + ":" + out;
     };
     EXPECT_EQ(names(live_window(whole, 0, 3)), "0:abc");
     EXPECT_EQ(names(live_window(whole, 7.9, 3)), "0:abc");
@@ -71,8 +71,8 @@
     std::uint64_t last = 0;
     for (double at = 0; at < 100; at += 0.5) {
         const auto p = live_window(whole, at, 3);
-        EXPECT_GE(p.sequence, last);
-        last = p.sequence;
+        EXPECT_GE(p.media_sequence, last);
+        last = p.media_sequence;
     }
     EXPECT_THROW(live_window({}, 1, 3), std::invalid_argument);
 }
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -19,7 +19,7 @@
     Raw(io::Loop& loop, const io::Address& to) { stream = loop.dial(to, 1000, this); }
     void on_data(std::string_view bytes) override { got += bytes; }
     void on_end() override { ended = true; }
-    void on_closed(io::Closing) override { closed = true; }
+    void on_closed(io::CloseReason) override { closed = true; }
 };
 
 struct Web : testing::Test {
@@ -30,7 +30,7 @@
     ServerLimits limits;
     std::unique_ptr<Server> server;
     std::unique_ptr<Client> client;
-    Web() { world.weather.ragged = true, world.weather.largest_piece = 50; }
+    Web() { world.network.random_piece_sizes = true, world.network.max_piece_size = 50; }
     void serve(Server::Handler handler) {
         server = std::make_unique<Server>(there, io::Address{"127.0.0.1", 80}, limits, std::move(handler));
     }
@@ -64,7 +64,7 @@
     EXPECT_LT(raw.got.find("second"), raw.got.find("third"));
 }
 TEST_F(Web, ManyPipelinedWaitUnreadAndAllAreAnswered) {
-    limits.pipelined = 3;
+    limits.max_pipelined_requests = 3;
     serve([this](const ExchangePtr& e) { held.push_back(e); });
     Raw raw(here, kServer);
     for (int k = 0; k < 20; ++k) raw.stream->write("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -84,9 +84,9 @@
     world.run_until(500);
     EXPECT_EQ(raw.got.substr(0, 12), "HTTP/1.1 400");
     EXPECT_TRUE(raw.ended);
-    EXPECT_EQ(server->counts().refused, 1u);
+    EXPECT_EQ(server->counts().rejected, 1u);
     world.run_until(5000);
-    EXPECT_EQ(server->open(), 0u);
+    EXPECT_EQ(server->open_connections(), 0u);
 }
 TEST_F(Web, SlowSendersAreAnswered408) {
     serve_echo();
@@ -110,8 +110,8 @@
     raw.stream->write("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     raw.stream->pause();
     world.run_until(40000);
-    EXPECT_EQ(server->open(), 0u);
-    EXPECT_EQ(server->counts().slow, 1u);
+    EXPECT_EQ(server->open_connections(), 0u);
+    EXPECT_EQ(server->counts().timed_out, 1u);
 }
 TEST_F(Web, AHalfClosedPeerStillGetsItsAnswer) {
     serve([this](const ExchangePtr& e) { held.push_back(e); });
@@ -120,7 +120,7 @@
     raw.stream->end();
     world.run_until(100);
     ASSERT_EQ(held.size(), 1u);
-    EXPECT_FALSE(held[0]->gone());
+    EXPECT_FALSE(held[0]->is_disconnected());
     held[0]->respond({200, {}, "still"});
     world.run_until(200);
     EXPECT_NE(raw.got.find("still"), std::string::npos);
@@ -130,7 +130,7 @@
     bool gone = false;
     serve([&](const ExchangePtr& e) {
         held.push_back(e);
-        e->on_gone([&] { gone = true; });
+        e->on_disconnect([&] { gone = true; });
     });
     {
         Raw raw(here, kServer);
@@ -139,7 +139,7 @@
     }
     world.run_until(200);
     EXPECT_TRUE(gone);
-    EXPECT_TRUE(held[0]->gone());
+    EXPECT_TRUE(held[0]->is_disconnected());
     held[0]->respond({200, {}, "to nobody"});  // no harm
 }
 TEST_F(Web, AnExchangeThatIsDroppedIsAnswered500) {
@@ -193,37 +193,37 @@
 TEST_F(Web, CallsShareConnectionsUpToTheCap) {
     serve([this](const ExchangePtr& e) { held.push_back(e); });
     ClientLimits few;
-    few.per_address = 2;
+    few.max_connections_per_address = 2;
     client = std::make_unique<Client>(here, few);
     std::vector<std::unique_ptr<Call>> calls;
-    std::vector<CallEnd> ends;
+    std::vector<CallOutcome> ends;
     CallOptions patient;
     patient.connect_timeout = 5000;
     for (int k = 0; k < 5; ++k)
         calls.push_back(
-            client->send(kServer, get("/"), patient, [&](CallResult r) { ends.push_back(r.end); }));
+            client->send(kServer, get("/"), patient, [&](CallResult r) { ends.push_back(r.outcome); }));
     world.run_until(100);
     EXPECT_EQ(held.size(), 2u);
-    EXPECT_EQ(client->open(kServer), 2u);
+    EXPECT_EQ(client->open_connections(kServer), 2u);
     for (std::size_t k = 0; k < 5; ++k) {
         ASSERT_LT(k, held.size());
         held[k]->respond({200, {}, ""});
         world.run_until(world.now() + 100);
     }
-    EXPECT_EQ(ends, std::vector<CallEnd>(5, CallEnd::response));
+    EXPECT_EQ(ends, std::vector<CallOutcome>(5, CallOutcome::response));
     EXPECT_EQ(server->counts().connections, 2u);
 }
 TEST_F(Web, ACallThatGetsNoConnectionInTimeWasNeverSent) {
     serve([this](const ExchangePtr& e) { held.push_back(e); });
     ClientLimits one;
-    one.per_address = 1;
+    one.max_connections_per_address = 1;
     client = std::make_unique<Client>(here, one);
     CallResult second;
     const auto a = client->send(kServer, get("/a"), {}, [](CallResult) {});
     const auto b = client->send(kServer, get("/b"), {}, [&](CallResult r) { second = std::move(r); });
     EXPECT_FALSE(b->sent());
     world.run_until(1500);
-    EXPECT_EQ(second.end, CallEnd::not_connected);
+    EXPECT_EQ(second.outcome, CallOutcome::not_connected);
     EXPECT_EQ(held.size(), 1u);
 }
 TEST_F(Web, WhatTheCallerCanKnowOfALostCall) {
@@ -238,13 +238,13 @@
     const auto c = client->send(kServer, get("/c"), quick, [&](CallResult r) { late = std::move(r); });
     world.run_until(100);
     for (const auto& e : held)
-        if (e->request().target == "/b") e->break_off();
+        if (e->request().target == "/b") e->abort_connection();
     world.run_until(500);
-    EXPECT_EQ(refused.end, CallEnd::not_connected);
-    EXPECT_EQ(refused.closing, io::Closing::refused);
-    EXPECT_EQ(broken.end, CallEnd::broke);
-    EXPECT_EQ(late.end, CallEnd::timed_out);
-    EXPECT_NEAR(late.waited, 300, 1);
+    EXPECT_EQ(refused.outcome, CallOutcome::not_connected);
+    EXPECT_EQ(refused.close_reason, io::CloseReason::refused);
+    EXPECT_EQ(broken.outcome, CallOutcome::connection_lost);
+    EXPECT_EQ(late.outcome, CallOutcome::timed_out);
+    EXPECT_NEAR(late.elapsed, 300, 1);
 }
 TEST_F(Web, ADestroyedCallLeavesNothing) {
     serve([this](const ExchangePtr& e) { held.push_back(e); });
@@ -255,8 +255,8 @@
     call.reset();
     world.run_until(200);
     EXPECT_FALSE(called);
-    EXPECT_TRUE(held.at(0)->gone());
-    EXPECT_EQ(client->open(kServer), 0u);
+    EXPECT_TRUE(held.at(0)->is_disconnected());
+    EXPECT_EQ(client->open_connections(kServer), 0u);
 }
 TEST_F(Web, StreamedBodiesComeInPieces) {
     serve([this](const ExchangePtr& e) {
@@ -285,10 +285,10 @@
     EXPECT_TRUE(done);
 }
 TEST_F(Web, ThousandsOfCallsInBadWeatherAllEnd) {
-    world.weather.reset_chance = 0.002;
+    world.network.reset_probability = 0.002;
     serve_echo();
     client = std::make_unique<Client>(here, ClientLimits{});
-    std::map<CallEnd, int> ends;
+    std::map<CallOutcome, int> ends;
     std::vector<std::unique_ptr<Call>> calls;
     int sent = 0;
     std::function<void()> more = [&] {
@@ -297,10 +297,10 @@
         r.method = "POST", r.body = std::string(static_cast<std::size_t>(sent % 300), 'b');
         const std::string wanted = r.target + ":" + r.body;
         calls.push_back(client->send(kServer, r, {}, [&ends, &more, wanted](CallResult got) {
-            if (got.end == CallEnd::response) {
+            if (got.outcome == CallOutcome::response) {
                 EXPECT_EQ(got.response.body, wanted);
             }
-            ends[got.end] += 1;
+            ends[got.outcome] += 1;
             more();
         }));
     };
@@ -309,8 +309,8 @@
     int all = 0;
     for (const auto& [end, n] : ends) all += n;
     EXPECT_EQ(all, 3000);
-    EXPECT_GT(ends[CallEnd::response], 1000);
-    EXPECT_GT(ends[CallEnd::broke], 10);
+    EXPECT_GT(ends[CallOutcome::response], 1000);
+    EXPECT_GT(ends[CallOutcome::connection_lost], 10);
 }
 
 TEST(Sockets, ServerAndClientOnLoopback) {
@@ -325,7 +325,8 @@
         Request r;
         r.target = "/" + std::to_string(k);
         calls.push_back(client.send(server.address(), r, {}, [&, target = r.target](CallResult got) {
-            good += got.end == CallEnd::response && got.response.body == std::string(100000, 'x') + target;
+            good += got.outcome == CallOutcome::response &&
+                    got.response.body == std::string(100000, 'x') + target;
             if (++all == 200) loop.stop();
         }));
     }
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -41,7 +41,7 @@
     const std::string all = kGet + kChunked + kLength + "\r\n" + kGet;
     for (std::size_t piece = 1; piece < all.size() + 1; ++piece) {
         const Read r = read(all, piece);
-        ASSERT_FALSE(r.failed) << piece << ": " << r.error.why;
+        ASSERT_FALSE(r.failed) << piece << ": " << r.error.reason;
         ASSERT_EQ(r.requests.size(), 4u) << piece;
         EXPECT_EQ(r.requests[0].path(), "/a");
         EXPECT_EQ(r.requests[0].query(), "b=c");
@@ -112,9 +112,9 @@
     for (const std::size_t piece : {std::string::npos, std::size_t(1), std::size_t(7), std::size_t(1000)}) {
         const Read r = read(GetParam().bytes, piece);
         EXPECT_TRUE(r.failed) << "in pieces of " << piece;
-        EXPECT_EQ(r.error.status, GetParam().status) << r.error.why;
+        EXPECT_EQ(r.error.status, GetParam().status) << r.error.reason;
         EXPECT_TRUE(r.requests.empty());
-        EXPECT_FALSE(r.error.why.empty());
+        EXPECT_FALSE(r.error.reason.empty());
     }
 }
 
--- a/tests/io/io_test.cpp
+++ b/tests/io/io_test.cpp
@@ -34,7 +34,7 @@
 struct VirtualRig : Rig {
     World world{1};
     VirtualLoop& process = world.start("one");
-    VirtualRig() { world.weather.ragged = true, world.weather.largest_piece = 700; }
+    VirtualRig() { world.network.random_piece_sizes = true, world.network.max_piece_size = 700; }
     Loop& loop() override { return process; }
     void run(const std::function<bool()>& done) override {
         while (!done() && world.step()) {
@@ -58,7 +58,7 @@
     std::unique_ptr<Stream> stream;
     std::string got;
     int opened = 0, ends = 0, drained = 0;
-    std::vector<Closing> closed;
+    std::vector<CloseReason> closed;
     bool echo = false;
     void on_open() override { opened += 1; }
     void on_data(std::string_view bytes) override {
@@ -69,8 +69,8 @@
         ends += 1;
         if (echo) stream->end();
     }
-    void on_drained() override { drained += 1; }
-    void on_closed(Closing why) override { closed.push_back(why); }
+    void on_flushed() override { drained += 1; }
+    void on_closed(CloseReason why) override { closed.push_back(why); }
 };
 
 TEST_P(Seam, TimersRunInOrderAndStop) {
@@ -118,8 +118,8 @@
     EXPECT_EQ(server.got, sent);
     EXPECT_EQ(client.got, sent);
     EXPECT_EQ(client.ends, 1);
-    EXPECT_EQ(client.closed, std::vector<Closing>{Closing::clean});
-    EXPECT_EQ(server.closed, std::vector<Closing>{Closing::clean});
+    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::clean});
+    EXPECT_EQ(server.closed, std::vector<CloseReason>{CloseReason::clean});
 }
 
 TEST_P(Seam, NobodyListens) {
@@ -132,7 +132,7 @@
     client.stream = loop.dial(address, 1000, &client);
     EXPECT_TRUE(client.closed.empty()) << "told within the call";
     rig->run([&] { return !client.closed.empty(); });
-    EXPECT_EQ(client.closed, std::vector<Closing>{Closing::refused});
+    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::refused});
     EXPECT_EQ(client.opened, 0);
 }
 
@@ -148,7 +148,7 @@
     rig->run([&] { return server.got == "hello"; });
     client.stream.reset();
     rig->run([&] { return !server.closed.empty(); });
-    EXPECT_EQ(server.closed, std::vector<Closing>{Closing::reset});
+    EXPECT_EQ(server.closed, std::vector<CloseReason>{CloseReason::reset});
     EXPECT_EQ(server.ends, 0);
 }
 
@@ -177,7 +177,7 @@
 
 TEST_P(Seam, HandlersMayDestroyTheirStream) {
     struct Suicidal : Peer {
-        void on_data(std::string_view) override { stream.reset(), closed.push_back(Closing::clean); }
+        void on_data(std::string_view) override { stream.reset(), closed.push_back(CloseReason::clean); }
     };
     Loop& loop = rig->loop();
     Suicidal server;
@@ -189,7 +189,7 @@
     client.stream = loop.dial(listener->address(), 1000, &client);
     client.stream->write("x");
     rig->run([&] { return !client.closed.empty(); });
-    EXPECT_EQ(client.closed, std::vector<Closing>{Closing::reset});
+    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::reset});
 }
 
 TEST_P(Seam, APortInUseIsAnErrorThatNamesIt) {
@@ -213,16 +213,17 @@
             explicit Reader(std::string& o) : order(o) {}
             void on_data(std::string_view) override { order += "s"; }
             void on_end() override {}
-            void on_closed(Closing) override {}
+            void on_closed(CloseReason) override {}
         };
         Reader accepted(order), dialled(order);
         const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
             accepted.stream = std::move(stream);
             accepted.stream->set_handler(&accepted);
         });
-        const auto receiver =
-            loop.datagram({"127.0.0.1", 0}, [&](const Address&, std::string_view) { order += "d"; });
-        const auto sender = loop.datagram({"127.0.0.1", 0}, [](const Address&, std::string_view) {});
+        const auto receiver = loop.open_datagram_socket(
+            {"127.0.0.1", 0}, [&](const Address&, std::string_view) { order += "d"; });
+        const auto sender =
+            loop.open_datagram_socket({"127.0.0.1", 0}, [](const Address&, std::string_view) {});
         dialled.stream = loop.dial(listener->address(), 1000, &dialled);
         Timer say = loop.after(50, [&] {
             const auto datagram = [&] { sender->send(receiver->address(), "list"); };
@@ -247,7 +248,7 @@
             Reader(std::string& o, char m) : order(o), mark(m) {}
             void on_data(std::string_view) override { order += mark; }
             void on_end() override {}
-            void on_closed(Closing) override {}
+            void on_closed(CloseReason) override {}
         };
         Reader accepted(order, 'a'), dialled(order, 'd');
         const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
@@ -279,11 +280,11 @@
         Stream* other = nullptr;
         std::string got;
         void on_data(std::string_view bytes) override {
-            if (other) std::exchange(other, nullptr)->receive_arrived();
+            if (other) std::exchange(other, nullptr)->read_available();
             got += bytes;
         }
         void on_end() override {}
-        void on_closed(Closing) override {}
+        void on_closed(CloseReason) override {}
     };
     Reader first, second;
     first.stream = loop.dial(listener->address(), 1000, &first);
@@ -302,8 +303,8 @@
 TEST(Virtual, SameSeedSameBytesAtTheSameTimes) {
     const auto play = [](std::uint64_t seed) {
         World world(seed);
-        world.weather.ragged = true;
-        world.weather.reset_chance = 0.001;
+        world.network.random_piece_sizes = true;
+        world.network.reset_probability = 0.001;
         VirtualLoop& loop = world.start("a");
         std::string story;
         struct Teller : Peer {
@@ -345,12 +346,12 @@
     world.kill(one);
     world.run_until(100);
     EXPECT_FALSE(fired);
-    EXPECT_EQ(client.closed, std::vector<Closing>{Closing::reset});
+    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::reset});
     EXPECT_TRUE(server.closed.empty());
     Peer late;
     late.stream = two.dial({"127.0.0.1", 80}, 1000, &late);
     world.run_until(200);
-    EXPECT_EQ(late.closed, std::vector<Closing>{Closing::refused});
+    EXPECT_EQ(late.closed, std::vector<CloseReason>{CloseReason::refused});
 }
 
 TEST(Virtual, AProcessThatStandsStillFindsAllAtOnceAndMayStillCallOff) {
--- a/tests/nodes/link_test.cpp
+++ b/tests/nodes/link_test.cpp
@@ -91,9 +91,9 @@
 
 TEST_F(ManyNodes, AllStreamsLostAtOnceComeBackAFewAtATimeAndCostWhatChanged) {
     const auto before = link->counts();
-    world.weather.reset_chance = 1;
+    world.network.reset_probability = 1;
     run(1200);
-    world.weather.reset_chance = 0;
+    world.network.reset_probability = 0;
     EXPECT_LT(live(), 10u);
     const double from = world.now();
     std::size_t most = 0;
@@ -169,7 +169,7 @@
         e->start(200, {});
         e->write("{\"event\":\"hello\",\"node\":\"o\",\"boot\":\"1\",\"protocol\":1}\n");
         streams.push_back(e);
-        e->on_gone([] { streams.clear(); });
+        e->on_disconnect([] { streams.clear(); });
     });
     std::vector<std::string> remarks;
     link->on_remark = [&](const std::string& text) { remarks.push_back(text); };
--- a/tests/relay/process.hpp
+++ b/tests/relay/process.hpp
@@ -125,7 +125,7 @@
   public:
     // `backlog` 0: of connections that wait to be accepted a node takes one, and then none comes up.
     explicit Stage(int node_count = 1, int sockets = 256, int backlog = 64) : sockets_(sockets) {
-        folder_ = io::temporary_folder();
+        folder_ = io::create_temporary_folder();
         for (int k = 0; k < node_count; ++k) {
             nodes_.push_back(listen(backlog));
             listed.push_back({"s-" + std::to_string(k),
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -39,7 +39,7 @@
             if (owner.at_end) owner.at_end(*this);
             stream->end();
         }
-        void on_closed(io::Closing) override { open = false; }
+        void on_closed(io::CloseReason) override { open = false; }
         void send(const NodeMessage& m) { stream->write(relay::write_frame(m)); }
         void send(Type type, std::uint64_t session, int cause = -1, std::map<int, std::string> with = {}) {
             NodeMessage m;
@@ -69,7 +69,7 @@
     }
     void on_data(std::string_view) override {}
     void on_end() override {}
-    void on_closed(io::Closing) override {}
+    void on_closed(io::CloseReason) override {}
     std::size_t open_links() const {
         std::size_t n = 0;
         for (const Link& link : links) n += link.open;
@@ -99,7 +99,7 @@
         }
     }
     void on_end() override { stream->end(); }
-    void on_closed(io::Closing) override { open = false; }
+    void on_closed(io::CloseReason) override { open = false; }
     void say(const std::string& line) { stream->write(line + "\n"); }
     std::vector<ViewerMessage> of(Type type) const {
         std::vector<ViewerMessage> out;
@@ -150,7 +150,7 @@
 }
 
 struct NameServer {
-    std::unique_ptr<io::Datagram> socket;
+    std::unique_ptr<io::DatagramSocket> socket;
     std::uint32_t serial;
     std::vector<Listed> nodes;
     int asked = 0;
@@ -159,13 +159,14 @@
     std::list<io::Timer> late;
     NameServer(io::Loop& loop, const io::Address& at, std::uint32_t n, std::vector<Listed> list)
         : serial(n), nodes(std::move(list)) {
-        socket = loop.datagram(at, [this, &loop](const io::Address& from, std::string_view query) {
-            asked += 1;
-            std::string answer = dns_answer(query, serial, nodes);
-            if (spoil) answer = spoil(answer);
-            if (answer.empty() || delay < 0) return;
-            late.push_back(loop.after(delay, [this, from, answer] { socket->send(from, answer); }));
-        });
+        socket =
+            loop.open_datagram_socket(at, [this, &loop](const io::Address& from, std::string_view query) {
+                asked += 1;
+                std::string answer = dns_answer(query, serial, nodes);
+                if (spoil) answer = spoil(answer);
+                if (answer.empty() || delay < 0) return;
+                late.push_back(loop.after(delay, [this, from, answer] { socket->send(from, answer); }));
+            });
     }
 };
 
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -28,7 +28,10 @@
 class Fleet {
   public:
     explicit Fleet(const Scenario& scenario)
-        : scenario_(scenario), random_(scenario.seed), loop_(scenario.seed), folder_(io::temporary_folder()) {
+        : scenario_(scenario),
+          random_(scenario.seed),
+          loop_(scenario.seed),
+          folder_(io::create_temporary_folder()) {
         for (int k = 0; k < scenario.nodes; ++k) {
             nodes_.push_back(std::make_unique<MediaNode>(loop_, "s-" + std::to_string(k), scenario.directors,
                                                          random_(), ledger_));
@@ -143,7 +146,7 @@
         void on_open() override { done(true); }
         void on_data(std::string_view) override {}
         void on_end() override {}
-        void on_closed(io::Closing) override { done(false); }
+        void on_closed(io::CloseReason) override { done(false); }
     };
     void await_ready(Seat& seat) {
         auto probe = std::make_shared<Probe>();
