--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -88,7 +88,7 @@
             const auto status = parser.feed(bytes);
             if (status == Parser::Status::need_more) return;
             if (status == Parser::Status::error)
-                return end(CallOutcome::bad_response, io::CloseReason::reset);
+                return end(CallOutcome::bad_response, io::StreamCloseReason::reset);
             if (parser.response().status < 200) continue;  // interim
             const bool keep = parser.keep_alive() && bytes.empty() && !ended;
             complete(keep);
@@ -98,15 +98,15 @@
         ended = true;
         if (call && parser.finish() == Parser::Status::message && parser.response().status >= 200)
             return complete(false);
-        if (call) return end(CallOutcome::connection_lost, io::CloseReason::reset);
+        if (call) return end(CallOutcome::connection_lost, io::StreamCloseReason::reset);
         drop();
     }
-    void on_closed(io::CloseReason why) override {
+    void on_closed(io::StreamCloseReason why) override {
         if (call) return end(open ? CallOutcome::connection_lost : CallOutcome::not_connected, why);
         drop();
     }
     void complete(bool keep);
-    void end(CallOutcome how, io::CloseReason why);
+    void end(CallOutcome how, io::StreamCloseReason why);
     void drop();  // out of the pool; destroyed from the loop
 
     Client& client;
@@ -161,7 +161,7 @@
     }
     ended_call->finish(std::move(result));  // may end the client
 }
-void Client::Link::end(CallOutcome how, io::CloseReason why) {
+void Client::Link::end(CallOutcome how, io::StreamCloseReason why) {
     Pending* const ended_call = call;
     call = nullptr;
     drop();
@@ -215,17 +215,18 @@
             Link* const link = raw->link_;
             // Not connected yet: the peer has seen nothing.
             const CallOutcome how = raw->sent_ ? CallOutcome::timed_out : CallOutcome::not_connected;
-            if (link) return link->end(how, io::CloseReason::unreachable);
+            if (link) return link->end(how, io::StreamCloseReason::unreachable);
             CallResult result;
             result.outcome = how;
-            result.close_reason = io::CloseReason::unreachable;
+            result.close_reason = io::StreamCloseReason::unreachable;
             raw->finish(std::move(result));
         });
     raw->connect_timeout_ = loop_.after(raw->options_.connect_timeout, [raw] {
-        if (raw->link_) return raw->link_->end(CallOutcome::not_connected, io::CloseReason::unreachable);
+        if (raw->link_)
+            return raw->link_->end(CallOutcome::not_connected, io::StreamCloseReason::unreachable);
         CallResult result;
         result.outcome = CallOutcome::not_connected;
-        result.close_reason = io::CloseReason::no_resources;
+        result.close_reason = io::StreamCloseReason::no_resources;
         raw->finish(std::move(result));
     });
     pool->waiting.push_back(raw);
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -32,7 +32,7 @@
     CallOutcome outcome = CallOutcome::connection_lost;
     Response response;  // with CallOutcome::response; the body is empty if it was streamed
     io::Time elapsed = 0;
-    io::CloseReason close_reason = io::CloseReason::clean;  // why, with not_connected and broke
+    io::StreamCloseReason close_reason = io::StreamCloseReason::clean;  // why, with not_connected and broke
 };
 
 struct CallOptions {
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -121,7 +121,7 @@
         }
         if (!over_) flush();
     }
-    void on_closed(io::CloseReason) override { over(); }
+    void on_closed(io::StreamCloseReason) override { over(); }
 
   private:
     void read(std::string_view more) {
--- a/src/io/ev/ev_loop.cpp
+++ b/src/io/ev/ev_loop.cpp
@@ -73,18 +73,18 @@
     return {"0.0.0.0", 0};
 }
 
-CloseReason closing_of(int error) {
+StreamCloseReason closing_of(int error) {
     switch (error) {
         case ECONNREFUSED:
-            return CloseReason::refused;
+            return StreamCloseReason::refused;
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
         case ENOMEM:
         case EADDRNOTAVAIL:
-            return CloseReason::no_resources;
+            return StreamCloseReason::no_resources;
         default:
-            return CloseReason::unreachable;
+            return StreamCloseReason::unreachable;
     }
 }
 
@@ -191,7 +191,7 @@
         bool connected = true, paused = false, ending = false, end_sent = false, peer_ended = false;
         bool closed = false;     // nothing more is told
         bool late_tell = false;  // a failure found inside a call is told from the loop
-        CloseReason late_why = CloseReason::reset;
+        StreamCloseReason late_why = StreamCloseReason::reset;
         Address peer, local;
         std::shared_ptr<State> self;  // while a watcher is active
 
@@ -214,7 +214,7 @@
             ev_io_set(&io, fd, events);
             if (events) ev_io_start(loop->ev, &io);
         }
-        void close_with(CloseReason why) {
+        void close_with(StreamCloseReason why) {
             if (closed) return;
             release();
             if (handler) handler->on_closed(why);
@@ -328,7 +328,7 @@
 
     static void on_dial_timeout(struct ev_loop*, ev_timer* w, int) {
         const auto keep = static_cast<State*>(w->data)->self;
-        keep->close_with(CloseReason::unreachable);
+        keep->close_with(StreamCloseReason::unreachable);
     }
     static void on_io(struct ev_loop* loop, ev_io* w, int events) {
         const auto keep = static_cast<State*>(w->data)->self;
@@ -348,13 +348,13 @@
         if (s.closed) return;
         if ((events & EV_WRITE) && s.sent < s.out.size()) {
             const bool done = s.flush();
-            if (s.late_tell) return s.close_with(CloseReason::reset);
+            if (s.late_tell) return s.close_with(StreamCloseReason::reset);
             if (done && s.handler) s.handler->on_flushed();
         }
         if (s.closed) return;
-        if (s.late_tell) return s.close_with(CloseReason::reset);
+        if (s.late_tell) return s.close_with(StreamCloseReason::reset);
         if (s.ending && s.sent == s.out.size() && !s.end_sent) s.flush();
-        if (s.peer_ended && s.end_sent) return s.close_with(CloseReason::clean);
+        if (s.peer_ended && s.end_sent) return s.close_with(StreamCloseReason::clean);
         s.interest();
     }
     // A callback may have another stream read (read_available) while it holds the bytes of its own.
@@ -379,7 +379,7 @@
             s.peer_ended = true;
             if (s.handler) s.handler->on_end();
         } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-            s.close_with(CloseReason::reset);
+            s.close_with(StreamCloseReason::reset);
         }
     }
 
@@ -389,7 +389,7 @@
 // A dial that failed at once; told from the loop.
 class FailedStream : public Stream {
   public:
-    FailedStream(Loop* loop, const Address& peer, CloseReason why, StreamHandler* handler)
+    FailedStream(Loop* loop, const Address& peer, StreamCloseReason why, StreamHandler* handler)
         : peer_(peer), handler_(handler) {
         timer_ = loop->after(0, [this, why] {
             if (handler_) handler_->on_closed(why);
@@ -565,11 +565,12 @@
 
 std::unique_ptr<Stream> EvLoop::dial(const Address& address, Time timeout, StreamHandler* handler) {
     const SocketAddress a = to_system(address);
-    if (a.size == 0) return std::make_unique<FailedStream>(this, address, CloseReason::unreachable, handler);
+    if (a.size == 0)
+        return std::make_unique<FailedStream>(this, address, StreamCloseReason::unreachable, handler);
     const int fd = ::socket(a.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return std::make_unique<FailedStream>(this, address, closing_of(errno), handler);
     if (::connect(fd, a.get(), a.size) != 0 && errno != EINPROGRESS) {
-        const CloseReason why = closing_of(errno);
+        const StreamCloseReason why = closing_of(errno);
         ::close(fd);
         return std::make_unique<FailedStream>(this, address, why, handler);
     }
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -33,17 +33,17 @@
     return Address{std::string(host), static_cast<std::uint16_t>(value)};
 }
 
-const char* name(CloseReason why) {
+const char* name(StreamCloseReason why) {
     switch (why) {
-        case CloseReason::refused:
+        case StreamCloseReason::refused:
             return "refused";
-        case CloseReason::unreachable:
+        case StreamCloseReason::unreachable:
             return "unreachable";
-        case CloseReason::no_resources:
+        case StreamCloseReason::no_resources:
             return "no resources";
-        case CloseReason::reset:
+        case StreamCloseReason::reset:
             return "reset";
-        case CloseReason::clean:
+        case StreamCloseReason::clean:
             return "clean";
     }
     return "?";
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -36,14 +36,14 @@
 };
 
 // Why a stream is over. Those before `reset` prove that the peer received nothing from it.
-enum class CloseReason {
+enum class StreamCloseReason {
     refused,       // nobody listens there
     unreachable,   // no way there, or no answer before the dial's time was up
     no_resources,  // this process may not open another
     reset,         // broke, or the peer closed it while bytes of ours were under way
     clean          // both sides have ended
 };
-const char* name(CloseReason why);
+const char* name(StreamCloseReason why);
 
 class Stream;
 
@@ -55,7 +55,7 @@
     virtual void on_data(std::string_view bytes) = 0;  // valid during the call only
     virtual void on_end() = 0;                         // the peer sends no more; we still may
     virtual void on_flushed() {}                       // everything written has left this process
-    virtual void on_closed(CloseReason why) = 0;
+    virtual void on_closed(StreamCloseReason why) = 0;
 };
 
 // One connection. Destroying it closes at once, unsent bytes are lost and the peer sees a reset; the
--- a/src/io/virtual/world.cpp
+++ b/src/io/virtual/world.cpp
@@ -20,7 +20,7 @@
     bool open = false, paused = false, ending = false, end_sent = false, peer_ended = false, over = false;
 
     std::size_t left() const { return out.size() - taken; }
-    static void close(const std::shared_ptr<End>& end, CloseReason why) {
+    static void close(const std::shared_ptr<End>& end, StreamCloseReason why) {
         World::in(*end->loop, [end, why] {
             if (end->over) return;
             end->over = true;
@@ -78,7 +78,7 @@
     static void reset_other(World& world, End& e) {
         const auto other = e.other.lock();
         if (!other) return;
-        world.later(world.now() + world.delay(), [other] { End::close(other, CloseReason::reset); });
+        world.later(world.now() + world.delay(), [other] { End::close(other, StreamCloseReason::reset); });
     }
     // Puts as much on the way as the window takes.
     static void pump(World& world, const std::shared_ptr<End>& end) {
@@ -104,8 +104,8 @@
                 w.reset_probability > 0 && std::bernoulli_distribution(w.reset_probability)(world.random_);
             world.later(e.last_arrival, [&world, end, other, breaks, piece = std::move(piece)]() mutable {
                 if (breaks) {
-                    End::close(other, CloseReason::reset);
-                    End::close(end, CloseReason::reset);
+                    End::close(other, StreamCloseReason::reset);
+                    End::close(end, StreamCloseReason::reset);
                     return;
                 }
                 other->unread.push_back(std::move(piece));
@@ -149,7 +149,7 @@
     }
     static void finish(World& world, const std::shared_ptr<End>& end) {
         if (end->peer_ended && end->end_sent)
-            world.later(world.now(), [end] { End::close(end, CloseReason::clean); });
+            world.later(world.now(), [end] { End::close(end, StreamCloseReason::clean); });
     }
 
   private:
@@ -355,13 +355,14 @@
     ends_.push_back(mine);
     const Time give_up = world.now() + timeout;
     world.later(give_up, [mine] {
-        if (!mine->open) End::close(mine, CloseReason::unreachable);
+        if (!mine->open) End::close(mine, StreamCloseReason::unreachable);
     });
     const Time arrives = world.now() + world.delay();
     const auto knock = [&world, mine, address](auto&& again) -> void {
         const auto it = world.listeners_.find(address);
         if (it == world.listeners_.end()) {
-            world.later(world.now() + world.delay(), [mine] { End::close(mine, CloseReason::refused); });
+            world.later(world.now() + world.delay(),
+                        [mine] { End::close(mine, StreamCloseReason::refused); });
             return;
         }
         VirtualListener& listener = *it->second;
--- a/tests/io/io_test.cpp
+++ b/tests/io/io_test.cpp
@@ -58,7 +58,7 @@
     std::unique_ptr<Stream> stream;
     std::string got;
     int opened = 0, ends = 0, drained = 0;
-    std::vector<CloseReason> closed;
+    std::vector<StreamCloseReason> closed;
     bool echo = false;
     void on_open() override { opened += 1; }
     void on_data(std::string_view bytes) override {
@@ -70,7 +70,7 @@
         if (echo) stream->end();
     }
     void on_flushed() override { drained += 1; }
-    void on_closed(CloseReason why) override { closed.push_back(why); }
+    void on_closed(StreamCloseReason why) override { closed.push_back(why); }
 };
 
 TEST_P(Seam, TimersRunInOrderAndStop) {
@@ -118,8 +118,8 @@
     EXPECT_EQ(server.got, sent);
     EXPECT_EQ(client.got, sent);
     EXPECT_EQ(client.ends, 1);
-    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::clean});
-    EXPECT_EQ(server.closed, std::vector<CloseReason>{CloseReason::clean});
+    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::clean});
+    EXPECT_EQ(server.closed, std::vector<StreamCloseReason>{StreamCloseReason::clean});
 }
 
 TEST_P(Seam, NobodyListens) {
@@ -132,7 +132,7 @@
     client.stream = loop.dial(address, 1000, &client);
     EXPECT_TRUE(client.closed.empty()) << "told within the call";
     rig->run([&] { return !client.closed.empty(); });
-    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::refused});
+    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::refused});
     EXPECT_EQ(client.opened, 0);
 }
 
@@ -148,7 +148,7 @@
     rig->run([&] { return server.got == "hello"; });
     client.stream.reset();
     rig->run([&] { return !server.closed.empty(); });
-    EXPECT_EQ(server.closed, std::vector<CloseReason>{CloseReason::reset});
+    EXPECT_EQ(server.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
     EXPECT_EQ(server.ends, 0);
 }
 
@@ -177,7 +177,9 @@
 
 TEST_P(Seam, HandlersMayDestroyTheirStream) {
     struct Suicidal : Peer {
-        void on_data(std::string_view) override { stream.reset(), closed.push_back(CloseReason::clean); }
+        void on_data(std::string_view) override {
+            stream.reset(), closed.push_back(StreamCloseReason::clean);
+        }
     };
     Loop& loop = rig->loop();
     Suicidal server;
@@ -189,7 +191,7 @@
     client.stream = loop.dial(listener->address(), 1000, &client);
     client.stream->write("x");
     rig->run([&] { return !client.closed.empty(); });
-    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::reset});
+    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
 }
 
 TEST_P(Seam, APortInUseIsAnErrorThatNamesIt) {
@@ -213,7 +215,7 @@
             explicit Reader(std::string& o) : order(o) {}
             void on_data(std::string_view) override { order += "s"; }
             void on_end() override {}
-            void on_closed(CloseReason) override {}
+            void on_closed(StreamCloseReason) override {}
         };
         Reader accepted(order), dialled(order);
         const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
@@ -248,7 +250,7 @@
             Reader(std::string& o, char m) : order(o), mark(m) {}
             void on_data(std::string_view) override { order += mark; }
             void on_end() override {}
-            void on_closed(CloseReason) override {}
+            void on_closed(StreamCloseReason) override {}
         };
         Reader accepted(order, 'a'), dialled(order, 'd');
         const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
@@ -284,7 +286,7 @@
             got += bytes;
         }
         void on_end() override {}
-        void on_closed(CloseReason) override {}
+        void on_closed(StreamCloseReason) override {}
     };
     Reader first, second;
     first.stream = loop.dial(listener->address(), 1000, &first);
@@ -346,12 +348,12 @@
     world.kill(one);
     world.run_until(100);
     EXPECT_FALSE(fired);
-    EXPECT_EQ(client.closed, std::vector<CloseReason>{CloseReason::reset});
+    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
     EXPECT_TRUE(server.closed.empty());
     Peer late;
     late.stream = two.dial({"127.0.0.1", 80}, 1000, &late);
     world.run_until(200);
-    EXPECT_EQ(late.closed, std::vector<CloseReason>{CloseReason::refused});
+    EXPECT_EQ(late.closed, std::vector<StreamCloseReason>{StreamCloseReason::refused});
 }
 
 TEST(Virtual, AProcessThatStandsStillFindsAllAtOnceAndMayStillCallOff) {
