--- a/src/hints/keys.cpp
+++ b/src/hints/keys.cpp
@@ -11,21 +11,22 @@
 
 enum class Type { integer, decimal, string, url, range, token, flag };
 
-struct Reserved {
+// A key that the specification defines.
+struct ReservedKey {
     const char* key;
     Type type;
     Carrier carrier = Carrier::session;
-    bool hundreds = false;  // rounded to the nearest hundred when sent
-    std::size_t longest = kMaxStringLength;
-    const char* tokens = nullptr;  // the ones defined, each between blanks
+    bool round_to_hundreds = false;  // when encoding
+    std::size_t max_length = kMaxStringLength;
+    const char* allowed_tokens = nullptr;  // separated and enclosed by spaces
 };
 
-constexpr const char* kObjects = " m a v av i c tt k o ";
-constexpr const char* kFormats = " d h s o ";
-constexpr const char* kStreams = " v l ";
+constexpr const char* kObjectTypes = " m a v av i c tt k o ";
+constexpr const char* kStreamingFormats = " d h s o ";
+constexpr const char* kStreamTypes = " v l ";
 
 // CTA-5004, table 1.
-constexpr Reserved kCmcd[] = {
+constexpr ReservedKey kCmcd[] = {
     {"bl", Type::integer, Carrier::request, true},
     {"br", Type::integer, Carrier::object},
     {"bs", Type::flag, Carrier::status},
@@ -35,18 +36,18 @@
     {"mtp", Type::integer, Carrier::request, true},
     {"nor", Type::url, Carrier::request},
     {"nrr", Type::range, Carrier::request},
-    {"ot", Type::token, Carrier::object, false, 0, kObjects},
+    {"ot", Type::token, Carrier::object, false, 0, kObjectTypes},
     {"pr", Type::decimal, Carrier::session},
     {"rtp", Type::integer, Carrier::status, true},
-    {"sf", Type::token, Carrier::session, false, 0, kFormats},
+    {"sf", Type::token, Carrier::session, false, 0, kStreamingFormats},
     {"sid", Type::string, Carrier::session, false, kMaxIdLength},
-    {"st", Type::token, Carrier::session, false, 0, kStreams},
+    {"st", Type::token, Carrier::session, false, 0, kStreamTypes},
     {"su", Type::flag, Carrier::request},
     {"tb", Type::integer, Carrier::object},
     {"v", Type::integer, Carrier::session},
 };
 // CTA-5006, static keys.
-constexpr Reserved kCmsdStatic[] = {
+constexpr ReservedKey kCmsdStatic[] = {
     {"at", Type::integer},
     {"br", Type::integer},
     {"d", Type::integer},
@@ -54,32 +55,32 @@
     {"n", Type::string},
     {"nor", Type::url},
     {"nrr", Type::range},
-    {"ot", Type::token, Carrier::session, false, 0, kObjects},
-    {"sf", Type::token, Carrier::session, false, 0, kFormats},
-    {"st", Type::token, Carrier::session, false, 0, kStreams},
+    {"ot", Type::token, Carrier::session, false, 0, kObjectTypes},
+    {"sf", Type::token, Carrier::session, false, 0, kStreamingFormats},
+    {"st", Type::token, Carrier::session, false, 0, kStreamTypes},
     {"su", Type::flag},
     {"v", Type::integer},
 };
 // CTA-5006, dynamic keys.
-constexpr Reserved kCmsdDynamic[] = {
+constexpr ReservedKey kCmsdDynamic[] = {
     {"du", Type::flag},    {"etp", Type::integer}, {"mb", Type::integer},
     {"rd", Type::integer}, {"rtt", Type::integer},
 };
 
 template <std::size_t N>
-const Reserved* find_in(const Reserved (&table)[N], std::string_view key) {
-    for (const Reserved& r : table)
-        if (key == r.key) return &r;
+const ReservedKey* find_key(const ReservedKey (&table)[N], std::string_view key) {
+    for (const ReservedKey& reserved : table)
+        if (key == reserved.key) return &reserved;
     return nullptr;
 }
-const Reserved* reserved(Vocabulary vocabulary, std::string_view key) {
+const ReservedKey* find_reserved(Vocabulary vocabulary, std::string_view key) {
     switch (vocabulary) {
         case Vocabulary::cmcd:
-            return find_in(kCmcd, key);
+            return find_key(kCmcd, key);
         case Vocabulary::cmsd_static:
-            return find_in(kCmsdStatic, key);
+            return find_key(kCmsdStatic, key);
         case Vocabulary::cmsd_dynamic:
-            return find_in(kCmsdDynamic, key);
+            return find_key(kCmsdDynamic, key);
     }
     return nullptr;
 }
@@ -89,7 +90,7 @@
         if (c < '0' || c > '9') return false;
     return !s.empty();
 }
-// "start-", "start-end" or "-length".
+// A byte range: "start-", "start-end" or "-length".
 bool is_range(std::string_view s) {
     const std::size_t dash = s.find('-');
     if (dash == std::string_view::npos) return false;
@@ -103,20 +104,21 @@
     return to.empty() || number(from) <= number(to);
 }
 
-// Checks a value against its key's type and brings it to one form (an integer rate becomes a decimal).
-std::string settle(Vocabulary vocabulary, const std::string& key, BareItem& value) {
-    const Reserved* r = reserved(vocabulary, key);
+// Checks a value against its key's type and normalizes it (an integer for a decimal key becomes a decimal).
+// Returns what is wrong, or an empty string.
+std::string normalize_value(Vocabulary vocabulary, const std::string& key, BareItem& value) {
+    const ReservedKey* reserved = find_reserved(vocabulary, key);
     if (std::holds_alternative<Bytes>(value)) return "a byte sequence is no type of these hints";
-    if (!r) {
+    if (!reserved) {
         if (key.find('-') == std::string::npos) return "not a reserved key, and a custom key has a hyphen";
         if (const auto* s = std::get_if<std::string>(&value); s && s->size() > kMaxStringLength)
             return "longer than " + std::to_string(kMaxStringLength) + " characters";
         return {};
     }
     const auto* text = std::get_if<std::string>(&value);
-    if (text && r->longest && text->size() > r->longest)
-        return "longer than " + std::to_string(r->longest) + " characters";
-    switch (r->type) {
+    if (text && reserved->max_length && text->size() > reserved->max_length)
+        return "longer than " + std::to_string(reserved->max_length) + " characters";
+    switch (reserved->type) {
         case Type::integer: {
             const auto* number = std::get_if<std::int64_t>(&value);
             if (!number) return "wanted an integer";
@@ -143,8 +145,8 @@
         case Type::token: {
             const auto* token = std::get_if<Token>(&value);
             if (!token) return "wanted a token";
-            if (std::string(r->tokens).find(" " + token->text + " ") == std::string::npos)
-                return std::string("wanted one of:") + r->tokens;
+            if (std::string(reserved->allowed_tokens).find(" " + token->text + " ") == std::string::npos)
+                return std::string("wanted one of:") + reserved->allowed_tokens;
             return {};
         }
         case Type::flag:
@@ -153,50 +155,53 @@
     return {};
 }
 
-// One decoded key: kept, or told why not.
-void keep(Vocabulary vocabulary, const std::string& key, BareItem value, DecodedKeys& into) {
-    std::string why = settle(vocabulary, key, value);
-    const Reserved* r = reserved(vocabulary, key);
-    if (why.empty() && r && r->type == Type::url) {
-        auto plain = http::percent_decode(std::get<std::string>(value));
-        if (plain) value = std::move(*plain);
-        else why = "wanted a percent-encoded path";
+// Adds a decoded key to the keys, or to the dropped ones with the reason.
+void add_key(Vocabulary vocabulary, const std::string& key, BareItem value, DecodedKeys& out) {
+    std::string reason = normalize_value(vocabulary, key, value);
+    const ReservedKey* reserved = find_reserved(vocabulary, key);
+    if (reason.empty() && reserved && reserved->type == Type::url) {
+        auto decoded_path = http::percent_decode(std::get<std::string>(value));
+        if (decoded_path) value = std::move(*decoded_path);
+        else reason = "wanted a percent-encoded path";
     }
-    if (!why.empty()) {
-        into.dropped.push_back({key, why});
+    if (!reason.empty()) {
+        out.dropped.push_back({key, reason});
         return;
     }
-    const auto [it, fresh] = into.keys.values.insert_or_assign(key, std::move(value));
-    if (!fresh) into.dropped.push_back({key, "given again later"});
+    const auto [it, inserted] = out.keys.values.insert_or_assign(key, std::move(value));
+    if (!inserted) out.dropped.push_back({key, "given again later"});
 }
 
-std::int64_t to_hundred(std::int64_t value) { return (value + 50) / 100 * 100; }
+std::int64_t round_to_hundred(std::int64_t value) { return (value + 50) / 100 * 100; }
 
-// As it is sent; nothing when the key is left out.
-std::optional<BareItem> as_sent(Vocabulary vocabulary, const std::string& key, BareItem value) {
-    const Reserved* r = reserved(vocabulary, key);
-    if (!valid_key(key)) throw std::invalid_argument("\"" + key + "\": not a key");
-    if (const std::string why = settle(vocabulary, key, value); !why.empty())
-        throw std::invalid_argument("\"" + key + "\": " + why);
-    if (const bool* flag = std::get_if<bool>(&value); flag && !*flag && r) return std::nullopt;
-    if (r && key == "v" && std::get<std::int64_t>(value) == 1) return std::nullopt;
-    if (r && key == "pr" && std::get<Decimal>(value).thousandths == 1000) return std::nullopt;
-    if (r && r->hundreds) value = to_hundred(std::get<std::int64_t>(value));
-    if (r && r->type == Type::url) value = http::percent_encode(std::get<std::string>(value));
+// The value in the form that is sent; nothing if the key is omitted because it has its default value. Throws
+// std::invalid_argument.
+std::optional<BareItem> encode_value(Vocabulary vocabulary, const std::string& key, BareItem value) {
+    const ReservedKey* reserved = find_reserved(vocabulary, key);
+    if (!is_valid_key(key)) throw std::invalid_argument("\"" + key + "\": not a key");
+    if (const std::string reason = normalize_value(vocabulary, key, value); !reason.empty())
+        throw std::invalid_argument("\"" + key + "\": " + reason);
+    if (const bool* flag = std::get_if<bool>(&value); flag && !*flag && reserved) return std::nullopt;
+    if (reserved && key == "v" && std::get<std::int64_t>(value) == 1) return std::nullopt;
+    if (reserved && key == "pr" && std::get<Decimal>(value).thousandths == 1000) return std::nullopt;
+    if (reserved && reserved->round_to_hundreds) value = round_to_hundred(std::get<std::int64_t>(value));
+    if (reserved && reserved->type == Type::url) value = http::percent_encode(std::get<std::string>(value));
     return value;
 }
 
-std::string join(Vocabulary vocabulary, const Keys& keys, const char* separator, bool lead) {
+// Encodes the keys as "key=value" with the separator between them, or also before the first.
+std::string join_keys(Vocabulary vocabulary, const Keys& keys, const char* separator,
+                      bool leading_separator) {
     std::string out;
     for (const auto& [key, value] : keys.values) {
-        const auto sent = as_sent(vocabulary, key, value);
-        if (!sent) continue;
-        if (lead || !out.empty()) out += separator;
+        const auto encoded = encode_value(vocabulary, key, value);
+        if (!encoded) continue;
+        if (leading_separator || !out.empty()) out += separator;
         out += key;
-        const bool* flag = std::get_if<bool>(&*sent);
+        const bool* flag = std::get_if<bool>(&*encoded);
         if (!flag || !*flag) {
             try {
-                out += "=" + serialize(*sent);
+                out += "=" + serialize(*encoded);
             } catch (const std::invalid_argument& e) {
                 throw std::invalid_argument("\"" + key + "\": " + e.what());
             }
@@ -205,7 +210,8 @@
     return out;
 }
 
-bool too_long(std::string_view payload, std::vector<DroppedKey>& dropped) {
+// True, and reported in `dropped`, if the payload exceeds the limit.
+bool drop_if_too_long(std::string_view payload, std::vector<DroppedKey>& dropped) {
     if (payload.size() <= kMaxPayloadBytes) return false;
     dropped.push_back({"", "the payload is longer than " + std::to_string(kMaxPayloadBytes) + " bytes"});
     return true;
@@ -250,17 +256,17 @@
 }
 
 std::string check_key(Vocabulary vocabulary, const std::string& key, const BareItem& value) {
-    if (!valid_key(key)) return "not a key";
+    if (!is_valid_key(key)) return "not a key";
     BareItem copy = value;
-    return settle(vocabulary, key, copy);
+    return normalize_value(vocabulary, key, copy);
 }
 
 DecodedKeys decode_keys(Vocabulary vocabulary, std::string_view payload) {
     DecodedKeys out;
-    if (too_long(payload, out.dropped)) return out;
-    std::size_t seen = 0;
+    if (drop_if_too_long(payload, out.dropped)) return out;
+    std::size_t key_count = 0;
     for (ParsedMember& piece : parse_dictionary_members(payload)) {
-        if (++seen > kMaxKeys) {
+        if (++key_count > kMaxKeys) {
             out.dropped.push_back({piece.key, "more than " + std::to_string(kMaxKeys) + " keys"});
             break;
         }
@@ -271,27 +277,27 @@
         Item* item = std::get_if<Item>(&*piece.member);
         if (!item) out.dropped.push_back({piece.key, "a list is no value of these hints"});
         else if (!item->parameters.empty()) out.dropped.push_back({piece.key, "a value with parameters"});
-        else keep(vocabulary, piece.key, std::move(item->value), out);
+        else add_key(vocabulary, piece.key, std::move(item->value), out);
     }
     return out;
 }
 
 std::string encode_keys(Vocabulary vocabulary, const Keys& keys) {
-    return join(vocabulary, keys, ",", false);
+    return join_keys(vocabulary, keys, ",", false);
 }
 
 DecodedKeys decode_cmcd(const CmcdSources& sources) {
     DecodedKeys out;
     std::map<std::string, int> contradictory;
     for (const std::string& payload : sources.payload) {
-        DecodedKeys one = decode_keys(Vocabulary::cmcd, payload);
-        out.dropped.insert(out.dropped.end(), one.dropped.begin(), one.dropped.end());
-        for (auto& [key, value] : one.keys.values) {
-            const auto [it, fresh] = out.keys.values.try_emplace(key, value);
-            if (!fresh && !(it->second == value)) contradictory[key] += 1;
+        DecodedKeys decoded = decode_keys(Vocabulary::cmcd, payload);
+        out.dropped.insert(out.dropped.end(), decoded.dropped.begin(), decoded.dropped.end());
+        for (auto& [key, value] : decoded.keys.values) {
+            const auto [it, inserted] = out.keys.values.try_emplace(key, value);
+            if (!inserted && !(it->second == value)) contradictory[key] += 1;
         }
     }
-    for (const auto& [key, times] : contradictory) {
+    for (const auto& [key, count] : contradictory) {
         out.keys.values.erase(key);
         out.dropped.push_back({key, "two values in two places"});
     }
@@ -299,35 +305,35 @@
 }
 
 Carrier carrier_of(const std::string& key) {
-    const Reserved* r = reserved(Vocabulary::cmcd, key);
-    return r ? r->carrier : Carrier::session;
+    const ReservedKey* reserved = find_reserved(Vocabulary::cmcd, key);
+    return reserved ? reserved->carrier : Carrier::session;
 }
 std::array<std::string, 4> encode_cmcd_headers(const Keys& keys) {
-    std::array<Keys, 4> parts;
+    std::array<Keys, 4> keys_by_header;
     for (const auto& [key, value] : keys.values)
-        parts[static_cast<std::size_t>(carrier_of(key))].values.emplace(key, value);
+        keys_by_header[static_cast<std::size_t>(carrier_of(key))].values.emplace(key, value);
     std::array<std::string, 4> out;
-    for (std::size_t k = 0; k < out.size(); ++k) out[k] = encode_keys(Vocabulary::cmcd, parts[k]);
+    for (std::size_t k = 0; k < out.size(); ++k) out[k] = encode_keys(Vocabulary::cmcd, keys_by_header[k]);
     return out;
 }
 
 DecodedCmsdEntries decode_cmsd_dynamic(std::string_view payload) {
     DecodedCmsdEntries out;
-    if (too_long(payload, out.dropped)) return out;
+    if (drop_if_too_long(payload, out.dropped)) return out;
     for (ParsedListItem& piece : parse_list_items(payload)) {
         if (out.entries.size() >= kMaxKeys) {
             out.dropped.push_back({"", "more than " + std::to_string(kMaxKeys) + " entries"});
             break;
         }
-        std::string why = piece.reason;
+        std::string reason = piece.reason;
         CmsdEntry entry;
         if (piece.value) {
             if (const auto* name = std::get_if<std::string>(&*piece.value)) entry.name = *name;
             else if (const auto* token = std::get_if<Token>(&*piece.value)) entry.name = token->text;
-            else why = "an entry's name is a string";
+            else reason = "an entry's name is a string";
         }
-        if (!why.empty()) {
-            out.dropped.push_back({piece.text, why});
+        if (!reason.empty()) {
+            out.dropped.push_back({piece.text, reason});
             continue;
         }
         DecodedKeys keys;
@@ -336,7 +342,7 @@
                 out.dropped.push_back({p.key, "more than " + std::to_string(kMaxKeys) + " keys"});
                 break;
             }
-            if (p.value) keep(Vocabulary::cmsd_dynamic, p.key, std::move(*p.value), keys);
+            if (p.value) add_key(Vocabulary::cmsd_dynamic, p.key, std::move(*p.value), keys);
             else keys.dropped.push_back({p.key, p.reason});
         }
         out.dropped.insert(out.dropped.end(), keys.dropped.begin(), keys.dropped.end());
@@ -351,7 +357,7 @@
     for (const CmsdEntry& entry : entries) {
         if (entry.name.empty()) throw std::invalid_argument("an entry has no name");
         if (!out.empty()) out += ",";
-        out += serialize(BareItem(entry.name)) + join(Vocabulary::cmsd_dynamic, entry.keys, ";", true);
+        out += serialize(BareItem(entry.name)) + join_keys(Vocabulary::cmsd_dynamic, entry.keys, ";", true);
     }
     return out;
 }
--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -72,35 +72,36 @@
 template <typename Rule>
 struct whole : peg::seq<sp, Rule, sp, peg::eof> {};
 
-// ---- What it makes ----
-
-struct Made {
-    BareItem bare = true;
-    std::string text;            // of the string under way
-    std::string parameter, key;  // names under way
-    std::vector<Item> items;     // of the member under way: one, or those of an inner list
+// ---- Actions ----
+
+// The result of a parse, and what is collected for the member that is being parsed.
+struct ParseState {
+    BareItem bare = true;        // the last bare item
+    std::string text;            // characters of the current string
+    std::string parameter, key;  // name of the current parameter; key of the current member
+    std::vector<Item> items;     // of the current member: one, or those of an inner list
     Parameters* parameters = nullptr;
-    bool inner = false;
+    bool in_inner_list = false;
     InnerList inner_list;
     List list;
     Dictionary dictionary;
 
-    void put_item(BareItem value) {
+    void add_item(BareItem value) {
         items.push_back({std::move(value), {}});
         parameters = &items.back().parameters;
     }
-    // Of duplicate keys all but the last are ignored (3.1.2).
-    void put_parameter(BareItem value) {
-        const auto same = [&](const auto& one) { return one.first == parameter; };
-        const auto it = std::find_if(parameters->begin(), parameters->end(), same);
+    // If a key occurs more than once, the last value is used (3.1.2).
+    void set_parameter(BareItem value) {
+        const auto has_same_key = [&](const auto& entry) { return entry.first == parameter; };
+        const auto it = std::find_if(parameters->begin(), parameters->end(), has_same_key);
         if (it == parameters->end()) parameters->emplace_back(parameter, std::move(value));
         else it->second = std::move(value);
     }
     Member take_member() {
-        Member made = inner ? Member(std::move(inner_list)) : Member(std::move(items.front()));
-        inner = false;
+        Member member = in_inner_list ? Member(std::move(inner_list)) : Member(std::move(items.front()));
+        in_inner_list = false;
         items.clear();
-        return made;
+        return member;
     }
 };
 
@@ -110,59 +111,59 @@
 template <>
 struct action<integer> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
+    static void apply(const In& in, ParseState& state) {
         std::int64_t value = 0;
         std::from_chars(in.begin(), in.end(), value);
-        m.bare = value;
+        state.bare = value;
     }
 };
 template <>
 struct action<decimal> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
+    static void apply(const In& in, ParseState& state) {
         std::string digits = in.string();
         const std::size_t point = digits.find('.');
-        const std::size_t behind = digits.size() - point - 1;
-        digits.erase(point, 1).append(3 - behind, '0');
+        const std::size_t fraction_digits = digits.size() - point - 1;
+        digits.erase(point, 1).append(3 - fraction_digits, '0');
         std::int64_t value = 0;
         std::from_chars(digits.data(), digits.data() + digits.size(), value);
-        m.bare = Decimal{value};
+        state.bare = Decimal{value};
     }
 };
 template <>
 struct action<plain_char> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
-        m.text.push_back(*in.begin());
+    static void apply(const In& in, ParseState& state) {
+        state.text.push_back(*in.begin());
     }
 };
 template <>
 struct action<escaped_char> : action<plain_char> {};
 template <>
 struct action<string> {
-    static void apply0(Made& m) { m.bare = std::move(m.text), m.text.clear(); }
+    static void apply0(ParseState& state) { state.bare = std::move(state.text), state.text.clear(); }
 };
 template <>
 struct action<token> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
-        m.bare = Token{in.string()};
+    static void apply(const In& in, ParseState& state) {
+        state.bare = Token{in.string()};
     }
 };
 template <>
 struct action<boolean_value> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
-        m.bare = *in.begin() == '1';
+    static void apply(const In& in, ParseState& state) {
+        state.bare = *in.begin() == '1';
     }
 };
 template <>
 struct action<base64> {
     template <typename In>
-    static bool apply(const In& in, Made& m) {
+    static bool apply(const In& in, ParseState& state) {
         std::string out;
         unsigned bits = 0;
-        int have = 0, padding = 0;
+        int bit_count = 0, padding = 0;
         for (const char c : in.string_view()) {
             if (c == '=') {
                 padding += 1;
@@ -170,75 +171,75 @@
             }
             if (padding) return false;
             bits = (bits << 6 | static_cast<unsigned>(kBase64.find(c))) & 0xffffff;
-            have += 6;
-            if (have >= 8) have -= 8, out.push_back(static_cast<char>(bits >> have & 0xff));
+            bit_count += 6;
+            if (bit_count >= 8) bit_count -= 8, out.push_back(static_cast<char>(bits >> bit_count & 0xff));
         }
         if (padding > 2) return false;
-        m.bare = Bytes{out};
+        state.bare = Bytes{out};
         return true;
     }
 };
 template <>
 struct action<bare_item> {
-    static void apply0(Made& m) { m.put_item(m.bare); }
+    static void apply0(ParseState& state) { state.add_item(state.bare); }
 };
 template <>
 struct action<parameter_key> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
-        m.parameter = in.string();
-        m.put_parameter(true);
+    static void apply(const In& in, ParseState& state) {
+        state.parameter = in.string();
+        state.set_parameter(true);
     }
 };
 template <>
 struct action<parameter_value> {
-    static void apply0(Made& m) { m.put_parameter(m.bare); }
+    static void apply0(ParseState& state) { state.set_parameter(state.bare); }
 };
 template <>
 struct action<inner_open> {
-    static void apply0(Made& m) { m.inner = true, m.inner_list = {}; }
+    static void apply0(ParseState& state) { state.in_inner_list = true, state.inner_list = {}; }
 };
 template <>
 struct action<inner_close> {
-    static void apply0(Made& m) {
-        m.inner_list.items = std::move(m.items);
-        m.items.clear();
-        m.parameters = &m.inner_list.parameters;
+    static void apply0(ParseState& state) {
+        state.inner_list.items = std::move(state.items);
+        state.items.clear();
+        state.parameters = &state.inner_list.parameters;
     }
 };
 template <>
 struct action<list_member> {
-    static void apply0(Made& m) { m.list.push_back(m.take_member()); }
+    static void apply0(ParseState& state) { state.list.push_back(state.take_member()); }
 };
 template <>
 struct action<member_key> {
     template <typename In>
-    static void apply(const In& in, Made& m) {
-        m.key = in.string();
+    static void apply(const In& in, ParseState& state) {
+        state.key = in.string();
     }
 };
 template <>
 struct action<member_true> {
-    static void apply0(Made& m) { m.put_item(true); }
+    static void apply0(ParseState& state) { state.add_item(true); }
 };
 template <>
 struct action<dict_member> {
-    static void apply0(Made& m) {
-        Member made = m.take_member();
-        const auto same = [&](const auto& one) { return one.first == m.key; };
-        const auto it = std::find_if(m.dictionary.begin(), m.dictionary.end(), same);
-        if (it == m.dictionary.end()) m.dictionary.emplace_back(m.key, std::move(made));
-        else it->second = std::move(made);
+    static void apply0(ParseState& state) {
+        Member member = state.take_member();
+        const auto has_same_key = [&](const auto& entry) { return entry.first == state.key; };
+        const auto it = std::find_if(state.dictionary.begin(), state.dictionary.end(), has_same_key);
+        if (it == state.dictionary.end()) state.dictionary.emplace_back(state.key, std::move(member));
+        else it->second = std::move(member);
     }
 };
 
-// Parses the whole of the text as the rule, with spaces around it as 4.2 allows.
+// Parses the whole text with the rule, with optional spaces around it (4.2); nothing if it doesn't match.
 template <typename Rule>
-std::optional<Made> parse(std::string_view text) {
-    Made made;
+std::optional<ParseState> parse(std::string_view text) {
+    ParseState state;
     peg::memory_input<peg::tracking_mode::lazy> in(text.data(), text.size(), "field");
-    if (!peg::parse<whole<Rule>, action>(in, made)) return std::nullopt;
-    return made;
+    if (!peg::parse<whole<Rule>, action>(in, state)) return std::nullopt;
+    return state;
 }
 
 std::string_view trim(std::string_view s) {
@@ -247,8 +248,8 @@
     return s;
 }
 
-// Cuts at each separator that stands outside of quotes and parentheses. A quote that never closes swallows
-// all behind it: where the member ends can't be told any more.
+// Splits at each separator outside of quotes and parentheses. An unclosed quote extends to the end of the
+// text, because the end of its member can't be determined.
 std::vector<std::string_view> split(std::string_view text, char separator) {
     std::vector<std::string_view> out;
     std::size_t begin = 0;
@@ -274,7 +275,8 @@
     return out;
 }
 
-std::string why_not_value(std::string_view text) {
+// Why the text is no valid value.
+std::string describe_value_error(std::string_view text) {
     if (text.empty()) return "no value behind '='";
     if (text.front() == '"') {
         for (const char c : text)
@@ -286,16 +288,17 @@
     return "not a value of any type";
 }
 
-// "key" or "key=value" apart; the key may be malformed.
-std::pair<std::string_view, std::optional<std::string_view>> cut_key(std::string_view text) {
-    const std::size_t eq = text.find('=');
-    if (eq == std::string_view::npos) return {text, std::nullopt};
-    return {text.substr(0, eq), text.substr(eq + 1)};
+// Splits "key" or "key=value" at the first '='; the key may be malformed.
+std::pair<std::string_view, std::optional<std::string_view>> split_key(std::string_view text) {
+    const std::size_t equals = text.find('=');
+    if (equals == std::string_view::npos) return {text, std::nullopt};
+    return {text.substr(0, equals), text.substr(equals + 1)};
 }
 
-std::string shorten(std::string_view text) {
-    constexpr std::size_t most = 64;
-    return std::string(text.substr(0, most));
+// Limits raw text for reports.
+std::string truncate(std::string_view text) {
+    constexpr std::size_t max_length = 64;
+    return std::string(text.substr(0, max_length));
 }
 
 template <typename... Ts>
@@ -305,7 +308,7 @@
 template <typename... Ts>
 overloaded(Ts...) -> overloaded<Ts...>;
 
-std::string base64_of(const std::string& data) {
+std::string encode_base64(const std::string& data) {
     std::string out;
     for (std::size_t k = 0; k < data.size(); k += 3) {
         unsigned bits = 0;
@@ -320,7 +323,7 @@
 std::string serialize_parameters(const Parameters& parameters) {
     std::string out;
     for (const auto& [name, value] : parameters) {
-        if (!valid_key(name)) throw std::invalid_argument("not a parameter's name: \"" + name + "\"");
+        if (!is_valid_key(name)) throw std::invalid_argument("not a parameter's name: \"" + name + "\"");
         out += ";" + name;
         const bool* flag = std::get_if<bool>(&value);
         if (!flag || !*flag) out += "=" + serialize(value);
@@ -335,27 +338,27 @@
 
 }  // namespace
 
-bool valid_key(std::string_view text) {
+bool is_valid_key(std::string_view text) {
     peg::memory_input<peg::tracking_mode::lazy> in(text.data(), text.size(), "key");
     return peg::parse<peg::seq<key, peg::eof>>(in);
 }
 
 std::optional<Item> parse_item(std::string_view text) {
-    auto made = parse<item>(text);
-    if (!made) return std::nullopt;
-    return std::move(made->items.front());
+    auto parsed = parse<item>(text);
+    if (!parsed) return std::nullopt;
+    return std::move(parsed->items.front());
 }
 std::optional<List> parse_list(std::string_view text) {
     if (trim(text).empty()) return List{};
-    auto made = parse<list>(text);
-    if (!made) return std::nullopt;
-    return std::move(made->list);
+    auto parsed = parse<list>(text);
+    if (!parsed) return std::nullopt;
+    return std::move(parsed->list);
 }
 std::optional<Dictionary> parse_dictionary(std::string_view text) {
     if (trim(text).empty()) return Dictionary{};
-    auto made = parse<dictionary>(text);
-    if (!made) return std::nullopt;
-    return std::move(made->dictionary);
+    auto parsed = parse<dictionary>(text);
+    if (!parsed) return std::nullopt;
+    return std::move(parsed->dictionary);
 }
 
 std::string serialize(const BareItem& value) {
@@ -367,12 +370,12 @@
                 return std::to_string(v);
             },
             [](const Decimal& v) {
-                const std::int64_t size = std::abs(v.thousandths);
-                if (size > 999999999999999)
+                const std::int64_t magnitude = std::abs(v.thousandths);
+                if (magnitude > 999999999999999)
                     throw std::invalid_argument("a decimal of more than 12 digits before the point");
-                std::string behind = std::to_string(1000 + size % 1000).substr(1);
-                while (behind.size() > 1 && behind.back() == '0') behind.pop_back();
-                return (v.thousandths < 0 ? "-" : "") + std::to_string(size / 1000) + "." + behind;
+                std::string fraction = std::to_string(1000 + magnitude % 1000).substr(1);
+                while (fraction.size() > 1 && fraction.back() == '0') fraction.pop_back();
+                return (v.thousandths < 0 ? "-" : "") + std::to_string(magnitude / 1000) + "." + fraction;
             },
             [](const std::string& v) {
                 std::string out = "\"";
@@ -391,7 +394,7 @@
                     throw std::invalid_argument("not a token: \"" + v.text + "\"");
                 return v.text;
             },
-            [](const Bytes& v) { return ":" + base64_of(v.data) + ":"; },
+            [](const Bytes& v) { return ":" + encode_base64(v.data) + ":"; },
             [](bool v) { return std::string(v ? "?1" : "?0"); },
         },
         value);
@@ -403,21 +406,21 @@
     std::string out;
     for (const Member& m : value) {
         if (!out.empty()) out += ", ";
-        const Item* one = std::get_if<Item>(&m);
-        out += one ? serialize(*one) : serialize_inner(std::get<InnerList>(m));
+        const Item* single_item = std::get_if<Item>(&m);
+        out += single_item ? serialize(*single_item) : serialize_inner(std::get<InnerList>(m));
     }
     return out;
 }
 std::string serialize(const Dictionary& value) {
     std::string out;
     for (const auto& [name, m] : value) {
-        if (!valid_key(name)) throw std::invalid_argument("not a dictionary's key: \"" + name + "\"");
+        if (!is_valid_key(name)) throw std::invalid_argument("not a dictionary's key: \"" + name + "\"");
         if (!out.empty()) out += ", ";
         out += name;
-        const Item* one = std::get_if<Item>(&m);
-        const bool* flag = one ? std::get_if<bool>(&one->value) : nullptr;
-        if (flag && *flag) out += serialize_parameters(one->parameters);
-        else out += "=" + (one ? serialize(*one) : serialize_inner(std::get<InnerList>(m)));
+        const Item* single_item = std::get_if<Item>(&m);
+        const bool* flag = single_item ? std::get_if<bool>(&single_item->value) : nullptr;
+        if (flag && *flag) out += serialize_parameters(single_item->parameters);
+        else out += "=" + (single_item ? serialize(*single_item) : serialize_inner(std::get<InnerList>(m)));
     }
     return out;
 }
@@ -426,20 +429,20 @@
     std::vector<ParsedMember> out;
     if (trim(text).empty()) return out;
     for (const std::string_view piece : split(text, ',')) {
-        ParsedMember one;
-        one.text = shorten(piece);
-        const auto [name, value] = cut_key(piece);
-        one.key = shorten(name.substr(0, name.find(';')));
+        ParsedMember parsed_member;
+        parsed_member.text = truncate(piece);
+        const auto [name, value] = split_key(piece);
+        parsed_member.key = truncate(name.substr(0, name.find(';')));
         if (piece.empty()) {
-            one.reason = "nothing between two commas";
-        } else if (!valid_key(one.key)) {
-            one.reason = "not a key";
-        } else if (auto made = parse<dict_member>(piece)) {
-            one.member = std::move(made->dictionary.front().second);
+            parsed_member.reason = "nothing between two commas";
+        } else if (!is_valid_key(parsed_member.key)) {
+            parsed_member.reason = "not a key";
+        } else if (auto parsed = parse<dict_member>(piece)) {
+            parsed_member.member = std::move(parsed->dictionary.front().second);
         } else {
-            one.reason = value ? why_not_value(*value) : "not a key";
+            parsed_member.reason = value ? describe_value_error(*value) : "not a key";
         }
-        out.push_back(std::move(one));
+        out.push_back(std::move(parsed_member));
     }
     return out;
 }
@@ -448,25 +451,27 @@
     std::vector<ParsedListItem> out;
     if (trim(text).empty()) return out;
     for (const std::string_view piece : split(text, ',')) {
-        ParsedListItem one;
-        one.text = shorten(piece);
+        ParsedListItem parsed_item;
+        parsed_item.text = truncate(piece);
         const auto parts = split(piece, ';');
-        if (auto made = parse<bare_item>(parts.front())) one.value = std::move(made->bare);
-        else one.reason = piece.empty() ? "nothing between two commas" : why_not_value(parts.front());
+        if (auto parsed = parse<bare_item>(parts.front())) parsed_item.value = std::move(parsed->bare);
+        else
+            parsed_item.reason =
+                piece.empty() ? "nothing between two commas" : describe_value_error(parts.front());
         for (std::size_t k = 1; k < parts.size(); ++k) {
-            ParsedParameter p;
-            p.text = shorten(parts[k]);
-            const auto [name, value] = cut_key(parts[k]);
-            p.key = shorten(name);
-            if (!valid_key(name))
-                p.reason = parts[k].empty() ? "nothing between two semicolons" : "not a key";
-            else if (!value) p.value = true;
-            else if (auto made = parse<bare_item>(*value); made && trim(*value) == *value)
-                p.value = std::move(made->bare);
-            else p.reason = why_not_value(*value);
-            one.parameters.push_back(std::move(p));
+            ParsedParameter parameter;
+            parameter.text = truncate(parts[k]);
+            const auto [name, value] = split_key(parts[k]);
+            parameter.key = truncate(name);
+            if (!is_valid_key(name))
+                parameter.reason = parts[k].empty() ? "nothing between two semicolons" : "not a key";
+            else if (!value) parameter.value = true;
+            else if (auto parsed = parse<bare_item>(*value); parsed && trim(*value) == *value)
+                parameter.value = std::move(parsed->bare);
+            else parameter.reason = describe_value_error(*value);
+            parsed_item.parameters.push_back(std::move(parameter));
         }
-        out.push_back(std::move(one));
+        out.push_back(std::move(parsed_item));
     }
     return out;
 }
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -8,8 +8,8 @@
 
 namespace ivyfield::http {
 
-const char* name(CallOutcome end) {
-    switch (end) {
+const char* name(CallOutcome outcome) {
+    switch (outcome) {
         case CallOutcome::response:
             return "response";
         case CallOutcome::not_connected:
@@ -24,16 +24,17 @@
     return "?";
 }
 
-class Client::Pending : public Call {
+// A call that waits for a connection or for its response.
+class Client::PendingCall : public Call {
   public:
-    Pending(Client& client, Pool& pool, Request request, CallOptions options, Done done)
+    PendingCall(Client& client, Pool& pool, Request request, CallOptions options, CallHandler on_done)
         : client_(client),
           pool_(pool),
           request_(std::move(request)),
           options_(std::move(options)),
-          done_(std::move(done)),
-          began_(client.loop_.now()) {}
-    ~Pending() override;
+          on_done_(std::move(on_done)),
+          started_at_(client.loop_.now()) {}
+    ~PendingCall() override;
     bool sent() const override { return sent_; }
     void finish(CallResult result);
 
@@ -41,36 +42,37 @@
     Pool& pool_;
     Request request_;
     CallOptions options_;
-    Done done_;
-    io::Time began_;
-    bool sent_ = false, over_ = false;
-    Link* link_ = nullptr;
+    CallHandler on_done_;
+    io::Time started_at_;
+    bool sent_ = false, finished_ = false;
+    PooledConnection* connection_ = nullptr;
     io::Timer timeout_, connect_timeout_;
 };
 
 // One connection of a pool.
-struct Client::Link : io::StreamHandler {
-    Link(Client& owner, Pool& of)
-        : client(owner), pool(of), parser(Parser::Kind::response, owner.limits_.parse) {}
+struct Client::PooledConnection : io::StreamHandler {
+    PooledConnection(Client& owner, Pool& owning_pool)
+        : client(owner), pool(owning_pool), parser(Parser::Kind::response, owner.limits_.parse) {}
 
-    void assign(Pending& to) {
-        call = &to;
-        to.link_ = this;
-        idle.stop();
-        parser.expect_no_body(to.request_.method == "HEAD");
+    // Gives the call to this connection; its request is written once the connection is established.
+    void assign(PendingCall& next) {
+        call = &next;
+        next.connection_ = this;
+        idle_timer.stop();
+        parser.expect_no_body(next.request_.method == "HEAD");
         parser.set_head_sink({});
         parser.set_body_sink({});
-        if (to.options_.on_head || to.options_.on_body) {
+        if (next.options_.on_head || next.options_.on_body) {
             parser.set_head_sink([this] {
                 if (call && call->options_.on_head && parser.response().status >= 200)
                     call->options_.on_head(parser.response());
             });
         }
-        if (to.options_.on_body)
+        if (next.options_.on_body)
             parser.set_body_sink([this](std::string_view piece) {
                 if (call && call->options_.on_body) call->options_.on_body(piece);
             });
-        if (open) write();
+        if (connected) write();
     }
     void write() {
         call->sent_ = true;
@@ -79,204 +81,208 @@
         used = true;
     }
     void on_open() override {
-        open = true;
+        connected = true;
         if (call) write();
     }
     void on_data(std::string_view bytes) override {
-        while (!bytes.empty() && !dead) {
-            if (!call) return drop();  // bytes that answer nothing
+        while (!bytes.empty() && !closed) {
+            if (!call) return close();  // bytes that belong to no request
             const auto status = parser.feed(bytes);
             if (status == Parser::Status::need_more) return;
             if (status == Parser::Status::error)
-                return end(CallOutcome::bad_response, io::StreamCloseReason::reset);
-            if (parser.response().status < 200) continue;  // interim
-            const bool keep = parser.keep_alive() && bytes.empty() && !ended;
-            complete(keep);
+                return fail(CallOutcome::bad_response, io::StreamCloseReason::reset);
+            if (parser.response().status < 200) continue;  // an interim response
+            const bool keep_alive = parser.keep_alive() && bytes.empty() && !peer_ended;
+            complete(keep_alive);
         }
     }
     void on_end() override {
-        ended = true;
+        peer_ended = true;
         if (call && parser.finish() == Parser::Status::message && parser.response().status >= 200)
             return complete(false);
-        if (call) return end(CallOutcome::connection_lost, io::StreamCloseReason::reset);
-        drop();
+        if (call) return fail(CallOutcome::connection_lost, io::StreamCloseReason::reset);
+        close();
     }
-    void on_closed(io::StreamCloseReason why) override {
-        if (call) return end(open ? CallOutcome::connection_lost : CallOutcome::not_connected, why);
-        drop();
+    void on_closed(io::StreamCloseReason reason) override {
+        if (call) return fail(connected ? CallOutcome::connection_lost : CallOutcome::not_connected, reason);
+        close();
     }
-    void complete(bool keep);
-    void end(CallOutcome how, io::StreamCloseReason why);
-    void drop();  // out of the pool; destroyed from the loop
+    void complete(bool keep_alive);                                // ends the call with the response
+    void fail(CallOutcome outcome, io::StreamCloseReason reason);  // ends the call without a response
+    void close();  // removes the connection from the pool; it is destroyed from the loop
 
     Client& client;
     Pool& pool;
     Parser parser;
     std::unique_ptr<io::Stream> stream;
-    Pending* call = nullptr;
-    io::Timer idle;
-    bool open = false, used = false, ended = false, dead = false;
+    PendingCall* call = nullptr;
+    io::Timer idle_timer;
+    bool connected = false, used = false, peer_ended = false, closed = false;
 };
 
+// The connections to one address and the calls that wait for one.
 struct Client::Pool {
-    explicit Pool(io::Address to) : address(std::move(to)) {}
+    explicit Pool(io::Address peer) : address(std::move(peer)) {}
     io::Address address;
-    std::list<std::unique_ptr<Link>> links;
-    std::deque<Pending*> waiting;
+    std::list<std::unique_ptr<PooledConnection>> connections;
+    std::deque<PendingCall*> waiting;
 };
 
-Client::Pending::~Pending() {
-    if (over_) return;
-    over_ = true;
-    auto& w = pool_.waiting;
-    w.erase(std::remove(w.begin(), w.end(), this), w.end());
-    if (link_) {
-        link_->call = nullptr;
-        link_->drop();  // the answer that is still to come would be taken for the next call's
+Client::PendingCall::~PendingCall() {
+    if (finished_) return;
+    finished_ = true;
+    auto& waiting = pool_.waiting;
+    waiting.erase(std::remove(waiting.begin(), waiting.end(), this), waiting.end());
+    if (connection_) {
+        connection_->call = nullptr;
+        connection_->close();  // else the outstanding response would be taken for the next call's
     }
 }
-void Client::Pending::finish(CallResult result) {
-    if (over_) return;
-    over_ = true;
-    link_ = nullptr;
+void Client::PendingCall::finish(CallResult result) {
+    if (finished_) return;
+    finished_ = true;
+    connection_ = nullptr;
     timeout_.stop(), connect_timeout_.stop();
-    auto& w = pool_.waiting;
-    w.erase(std::remove(w.begin(), w.end(), this), w.end());
-    result.elapsed = client_.loop_.now() - began_;
-    const Done done = std::move(done_);  // may destroy this
-    done(std::move(result));
+    auto& waiting = pool_.waiting;
+    waiting.erase(std::remove(waiting.begin(), waiting.end(), this), waiting.end());
+    result.elapsed = client_.loop_.now() - started_at_;
+    const CallHandler on_done = std::move(on_done_);  // may destroy this
+    on_done(std::move(result));
 }
 
-void Client::Link::complete(bool keep) {
-    Pending* const ended_call = call;
+void Client::PooledConnection::complete(bool keep_alive) {
+    PendingCall* const completed_call = call;
     call = nullptr;
     CallResult result;
     result.outcome = CallOutcome::response;
     result.response = std::move(parser.response());
-    if (!keep) {
-        drop();
+    if (!keep_alive) {
+        close();
     } else {
-        idle = client.loop_.after(client.limits_.idle_timeout, [this] { drop(); });
-        if (!pool.waiting.empty()) client.serve_later(pool.address);
+        idle_timer = client.loop_.after(client.limits_.idle_timeout, [this] { close(); });
+        if (!pool.waiting.empty()) client.schedule_dispatch(pool.address);
     }
-    ended_call->finish(std::move(result));  // may end the client
+    completed_call->finish(std::move(result));  // may destroy the client
 }
-void Client::Link::end(CallOutcome how, io::StreamCloseReason why) {
-    Pending* const ended_call = call;
+void Client::PooledConnection::fail(CallOutcome outcome, io::StreamCloseReason reason) {
+    PendingCall* const failed_call = call;
     call = nullptr;
-    drop();
+    close();
     CallResult result;
-    result.outcome = how;
-    result.close_reason = why;
-    ended_call->finish(std::move(result));
+    result.outcome = outcome;
+    result.close_reason = reason;
+    failed_call->finish(std::move(result));
 }
-void Client::Link::drop() {
-    if (dead) return;
-    dead = true;
-    idle.stop();
+void Client::PooledConnection::close() {
+    if (closed) return;
+    closed = true;
+    idle_timer.stop();
     if (stream) stream->set_handler(nullptr);
-    // A place is free for a call that waits.
-    if (!pool.waiting.empty()) client.serve_later(pool.address);
-    for (auto it = pool.links.begin(); it != pool.links.end(); ++it) {
+    // The pool has room for a connection for a waiting call.
+    if (!pool.waiting.empty()) client.schedule_dispatch(pool.address);
+    for (auto it = pool.connections.begin(); it != pool.connections.end(); ++it) {
         if (it->get() != this) continue;
-        const std::shared_ptr<Link> keep(std::move(*it));
-        pool.links.erase(it);
-        client.loop_.post([keep] {});  // destroyed from the loop: a caller further up may be this link
+        const std::shared_ptr<PooledConnection> connection(std::move(*it));
+        pool.connections.erase(it);
+        // Destroyed from the loop: this connection may be on the call stack.
+        client.loop_.post([connection] {});
         return;
     }
 }
 
-void Client::serve_later(const io::Address& to) {
-    loop_.post([this, to, life = std::weak_ptr<int>(life_)] {
-        if (life.expired()) return;
+void Client::schedule_dispatch(const io::Address& to) {
+    loop_.post([this, to, lifetime = std::weak_ptr<int>(lifetime_)] {
+        if (lifetime.expired()) return;
         const auto it = pools_.find(to);
-        if (it != pools_.end()) serve(*it->second);
+        if (it != pools_.end()) dispatch(*it->second);
     });
 }
 
 Client::Client(io::Loop& loop, const ClientLimits& limits) : loop_(loop), limits_(limits) {}
 Client::~Client() {
     for (auto& [address, pool] : pools_)
-        for (auto& link : pool->links) {
-            if (link->stream) link->stream->set_handler(nullptr);
-            if (link->call) link->call->over_ = true, link->call->link_ = nullptr;
+        for (auto& connection : pool->connections) {
+            if (connection->stream) connection->stream->set_handler(nullptr);
+            if (connection->call) connection->call->finished_ = true, connection->call->connection_ = nullptr;
         }
 }
 
-std::unique_ptr<Call> Client::send(const io::Address& to, Request request, CallOptions options, Done done) {
+std::unique_ptr<Call> Client::send(const io::Address& to, Request request, CallOptions options,
+                                   CallHandler on_done) {
     auto& pool = pools_[to];
     if (!pool) pool = std::make_unique<Pool>(to);
     if (!request.headers.get("Host")) request.headers.add("Host", to.text());
-    auto call =
-        std::make_unique<Pending>(*this, *pool, std::move(request), std::move(options), std::move(done));
-    Pending* const raw = call.get();
-    if (raw->options_.timeout > 0)
-        raw->timeout_ = loop_.after(raw->options_.timeout, [raw] {
-            Link* const link = raw->link_;
-            // Not connected yet: the peer has seen nothing.
-            const CallOutcome how = raw->sent_ ? CallOutcome::timed_out : CallOutcome::not_connected;
-            if (link) return link->end(how, io::StreamCloseReason::unreachable);
+    auto call = std::make_unique<PendingCall>(*this, *pool, std::move(request), std::move(options),
+                                              std::move(on_done));
+    PendingCall* const pending = call.get();
+    if (pending->options_.timeout > 0)
+        pending->timeout_ = loop_.after(pending->options_.timeout, [pending] {
+            PooledConnection* const connection = pending->connection_;
+            // Not sent yet: the peer has seen nothing of the request.
+            const CallOutcome outcome = pending->sent_ ? CallOutcome::timed_out : CallOutcome::not_connected;
+            if (connection) return connection->fail(outcome, io::StreamCloseReason::unreachable);
             CallResult result;
-            result.outcome = how;
+            result.outcome = outcome;
             result.close_reason = io::StreamCloseReason::unreachable;
-            raw->finish(std::move(result));
+            pending->finish(std::move(result));
         });
-    raw->connect_timeout_ = loop_.after(raw->options_.connect_timeout, [raw] {
-        if (raw->link_)
-            return raw->link_->end(CallOutcome::not_connected, io::StreamCloseReason::unreachable);
+    pending->connect_timeout_ = loop_.after(pending->options_.connect_timeout, [pending] {
+        if (pending->connection_)
+            return pending->connection_->fail(CallOutcome::not_connected, io::StreamCloseReason::unreachable);
         CallResult result;
         result.outcome = CallOutcome::not_connected;
         result.close_reason = io::StreamCloseReason::no_resources;
-        raw->finish(std::move(result));
+        pending->finish(std::move(result));
     });
-    pool->waiting.push_back(raw);
-    serve(*pool);
+    pool->waiting.push_back(pending);
+    dispatch(*pool);
     return call;
 }
 
-// Gives waiting calls to idle connections, or to new ones while there are fewer than the cap.
-void Client::serve(Pool& pool) {
+// Assigns waiting calls to idle connections, or to new ones while there are fewer than the limit.
+void Client::dispatch(Pool& pool) {
     while (!pool.waiting.empty()) {
-        Pending& next = *pool.waiting.front();
-        Link* found = nullptr;
-        // The one used last: the longer idle, the likelier its other side is just closing it.
-        for (auto it = pool.links.rbegin(); it != pool.links.rend(); ++it)
-            if (!(*it)->call && (*it)->open && !(*it)->dead) {
-                found = it->get();
+        PendingCall& next = *pool.waiting.front();
+        PooledConnection* connection = nullptr;
+        // Prefers the connection used last: the longer one is idle, the likelier the peer is just closing it.
+        for (auto it = pool.connections.rbegin(); it != pool.connections.rend(); ++it)
+            if (!(*it)->call && (*it)->connected && !(*it)->closed) {
+                connection = it->get();
                 break;
             }
         if (next.options_.new_connection) {
-            // An idle connection makes room for the new one where the cap is reached.
-            if (found && pool.links.size() >= limits_.max_connections_per_address) found->drop();
-            found = nullptr;
+            // If the limit is reached, an idle connection is closed to make room for the new one.
+            if (connection && pool.connections.size() >= limits_.max_connections_per_address)
+                connection->close();
+            connection = nullptr;
         }
-        if (!found) {
-            if (pool.links.size() >= limits_.max_connections_per_address) return;
-            pool.links.push_back(std::make_unique<Link>(*this, pool));
-            found = pool.links.back().get();
-            found->stream = loop_.dial(pool.address, next.options_.connect_timeout, found);
+        if (!connection) {
+            if (pool.connections.size() >= limits_.max_connections_per_address) return;
+            pool.connections.push_back(std::make_unique<PooledConnection>(*this, pool));
+            connection = pool.connections.back().get();
+            connection->stream = loop_.dial(pool.address, next.options_.connect_timeout, connection);
         }
         pool.waiting.pop_front();
-        found->assign(next);
+        connection->assign(next);
     }
 }
 
 std::size_t Client::open_connections(const io::Address& to) const {
     const auto it = pools_.find(to);
-    return it == pools_.end() ? 0 : it->second->links.size();
+    return it == pools_.end() ? 0 : it->second->connections.size();
 }
 std::size_t Client::open_connections() const {
     std::size_t n = 0;
-    for (const auto& [address, pool] : pools_) n += pool->links.size();
+    for (const auto& [address, pool] : pools_) n += pool->connections.size();
     return n;
 }
 void Client::close_idle(const io::Address& to) {
     const auto it = pools_.find(to);
     if (it == pools_.end()) return;
-    std::vector<Link*> idle;
-    for (auto& link : it->second->links)
-        if (!link->call && link->open) idle.push_back(link.get());
-    for (Link* link : idle) link->drop();
+    std::vector<PooledConnection*> idle;
+    for (auto& connection : it->second->connections)
+        if (!connection->call && connection->connected) idle.push_back(connection.get());
+    for (PooledConnection* connection : idle) connection->close();
 }
 
 }  // namespace ivyfield::http
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
-int hex(char c) {
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+// The value of a hexadecimal digit; -1 if `c` is none.
+int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
-    c = lower(c);
+    c = to_lower(c);
     return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 std::string_view trim(std::string_view s) {
@@ -21,8 +22,8 @@
 }  // namespace
 
 bool equals_ignoring_case(std::string_view a, std::string_view b) {
-    return a.size() == b.size() &&
-           std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
+    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(),
+                                              [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 void Headers::add(std::string name, std::string value) {
@@ -71,8 +72,8 @@
 }
 std::string_view Request::query() const {
     const std::string_view t = std::string_view(target).substr(0, target.find('#'));
-    const std::size_t mark = t.find('?');
-    return mark == std::string_view::npos ? std::string_view{} : t.substr(mark + 1);
+    const std::size_t question_mark = t.find('?');
+    return question_mark == std::string_view::npos ? std::string_view{} : t.substr(question_mark + 1);
 }
 
 const char* reason_phrase(int status) {
@@ -144,7 +145,7 @@
     for (std::size_t k = 0; k < text.size(); ++k) {
         if (text[k] == '%') {
             if (k + 2 >= text.size()) return std::nullopt;
-            const int high = hex(text[k + 1]), low = hex(text[k + 2]);
+            const int high = hex_digit(text[k + 1]), low = hex_digit(text[k + 2]);
             if (high < 0 || low < 0) return std::nullopt;
             out.push_back(static_cast<char>(high * 16 + low));
             k += 2;
@@ -174,12 +175,12 @@
     std::vector<std::pair<std::string, std::string>> out;
     while (!query.empty()) {
         const std::size_t end = std::min(query.find('&'), query.size());
-        const std::string_view one = query.substr(0, end);
+        const std::string_view argument = query.substr(0, end);
         query.remove_prefix(std::min(end + 1, query.size()));
-        const std::size_t eq = std::min(one.find('='), one.size());
-        auto key = percent_decode(one.substr(0, eq), true);
-        // A '+' stays in a value: CMCD's payload is percent-encoded, not a form.
-        auto value = percent_decode(one.substr(std::min(eq + 1, one.size())));
+        const std::size_t equals = std::min(argument.find('='), argument.size());
+        auto key = percent_decode(argument.substr(0, equals), true);
+        // A '+' in a value is not decoded to a space: CMCD payloads are percent-encoded, not form-encoded.
+        auto value = percent_decode(argument.substr(std::min(equals + 1, argument.size())));
         if (key && value && !key->empty()) out.emplace_back(std::move(*key), std::move(*value));
     }
     return out;
@@ -195,14 +196,14 @@
            request.headers.get("Access-Control-Request-Method");
 }
 Response preflight_response(std::string_view headers, int max_age_s) {
-    Response r;
-    r.status = 204;
-    r.headers.add("Access-Control-Allow-Origin", "*");
-    r.headers.add("Access-Control-Allow-Methods", "GET, HEAD, OPTIONS");
-    r.headers.add("Access-Control-Allow-Headers", std::string(headers));
-    r.headers.add("Access-Control-Max-Age", std::to_string(max_age_s));
-    r.headers.add("Vary", "Access-Control-Request-Headers");
-    return r;
+    Response response;
+    response.status = 204;
+    response.headers.add("Access-Control-Allow-Origin", "*");
+    response.headers.add("Access-Control-Allow-Methods", "GET, HEAD, OPTIONS");
+    response.headers.add("Access-Control-Allow-Headers", std::string(headers));
+    response.headers.add("Access-Control-Max-Age", std::to_string(max_age_s));
+    response.headers.add("Vary", "Access-Control-Request-Headers");
+    return response;
 }
 void allow_any_origin(Headers& headers, std::string_view exposed) {
     headers.set("Access-Control-Allow-Origin", "*");
@@ -210,11 +211,11 @@
 }
 
 Response text_response(int status, std::string_view text) {
-    Response r;
-    r.status = status;
-    r.headers.add("Content-Type", "text/plain; charset=utf-8");
-    r.body = std::string(text) + "\n";
-    return r;
+    Response response;
+    response.status = status;
+    response.headers.add("Content-Type", "text/plain; charset=utf-8");
+    response.body = std::string(text) + "\n";
+    return response;
 }
 
 }  // namespace ivyfield::http
--- a/src/io/ev/child.cpp
+++ b/src/io/ev/child.cpp
@@ -22,14 +22,14 @@
     std::vector<char*> args;
     for (const std::string& arg : command) args.push_back(const_cast<char*>(arg.c_str()));
     args.push_back(nullptr);
-    posix_spawn_file_actions_t files;
-    posix_spawn_file_actions_init(&files);
-    const std::string out = output.empty() ? "/dev/null" : output;
-    posix_spawn_file_actions_addopen(&files, 0, "/dev/null", O_RDONLY, 0);
-    posix_spawn_file_actions_addopen(&files, 1, out.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    posix_spawn_file_actions_adddup2(&files, 1, 2);
-    const int error = posix_spawn(&pid_, args[0], &files, nullptr, args.data(), environ);
-    posix_spawn_file_actions_destroy(&files);
+    posix_spawn_file_actions_t actions;
+    posix_spawn_file_actions_init(&actions);
+    const std::string output_path = output.empty() ? "/dev/null" : output;
+    posix_spawn_file_actions_addopen(&actions, 0, "/dev/null", O_RDONLY, 0);
+    posix_spawn_file_actions_addopen(&actions, 1, output_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    posix_spawn_file_actions_adddup2(&actions, 1, 2);
+    const int error = posix_spawn(&pid_, args[0], &actions, nullptr, args.data(), environ);
+    posix_spawn_file_actions_destroy(&actions);
     if (error) throw std::runtime_error("can't start " + command.front() + ": " + std::strerror(error));
 }
 Child::~Child() { kill(); }
@@ -38,7 +38,7 @@
     if (pid_ < 0) return false;
     int status = 0;
     if (waitpid(pid_, &status, WNOHANG) != pid_) return true;
-    code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     pid_ = -1;
     return false;
 }
@@ -48,7 +48,7 @@
     int status = 0;
     while (waitpid(pid_, &status, 0) < 0 && errno == EINTR) {
     }
-    code_ = 128 + SIGKILL;
+    exit_code_ = 128 + SIGKILL;
     pid_ = -1;
 }
 void Child::stall(bool on) {
@@ -64,15 +64,15 @@
     std::getline(in, line);
     std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 2)));
     std::string skipped;
-    for (int k = 0; k < 11; ++k) rest >> skipped;  // fields 3 to 13 of proc(5)
+    for (int k = 0; k < 11; ++k) rest >> skipped;  // fields 3 to 13 of /proc/PID/stat, see proc(5)
     double user = 0, system = 0;
     rest >> user >> system;
     return (user + system) * 1000 / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 double Child::memory_kb() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");
-    double all = 0, resident = 0;
-    in >> all >> resident;
+    double total = 0, resident = 0;
+    in >> total >> resident;
     return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1024;
 }
 
@@ -96,7 +96,7 @@
 std::string executable_path() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
 std::string create_temporary_folder() {
     std::string path = (std::filesystem::temp_directory_path() / "ivyfield-XXXXXX").string();
-    if (!mkdtemp(path.data())) throw std::runtime_error("can't make a temporary folder: " + path);
+    if (!mkdtemp(path.data())) throw std::runtime_error("can't create a temporary folder: " + path);
     return path;
 }
 void write_file(const std::string& path, const std::string& text) {
--- a/src/io/ev/ev_loop.cpp
+++ b/src/io/ev/ev_loop.cpp
@@ -23,18 +23,22 @@
 
 namespace {
 
-// Accepted and read in one go at most so much, so that one busy peer does not keep the others waiting.
-constexpr int kAcceptsATurn = 64;
-constexpr int kDatagramsATurn = 16;
-constexpr std::size_t kReadATurn = 64 * 1024;
-// After running out of descriptors the listener rests, else it would spin on the same connection.
-constexpr double kAcceptRest_s = 0.1;
-// Of what is ready in one turn: answers from those that we dialled, then what comes from clients, then
-// datagrams. The first finish what was begun, the last may take long to read. Timers come after all of them.
+// At most this much is accepted or read in one turn of the loop, so that one busy peer does not delay the
+// others.
+constexpr int kMaxAcceptsPerTurn = 64;
+constexpr int kMaxDatagramsPerTurn = 16;
+constexpr std::size_t kMaxReadBytes = 64 * 1024;
+// When the process has run out of file descriptors, the listener waits this long before it accepts again;
+// otherwise the loop would spin on the same connection.
+constexpr double kAcceptRetryDelay_s = 0.1;
+// The order in which events that are ready in the same turn are handled: dialled streams, then accepted
+// streams, then datagrams. The first carry answers that complete pending work; the last may take long to
+// process. Timers run after all of them.
 constexpr int kDialledPriority = 1, kAcceptedPriority = 0, kDatagramPriority = -1;
-// Timers that run later than this have waited for the process, not for their time.
-constexpr Time kLate = 20;
+// A timer that is late by more than this (ms) was delayed because the process did not run.
+constexpr Time kLateTimerThreshold = 20;
 
+// An address as the socket calls take it.
 struct SocketAddress {
     sockaddr_storage storage{};
     socklen_t size = 0;
@@ -42,38 +46,39 @@
     sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
 };
 
-SocketAddress to_system(const Address& a) {
+SocketAddress to_sockaddr(const Address& a) {
     SocketAddress out;
-    auto* four = reinterpret_cast<sockaddr_in*>(&out.storage);
-    auto* six = reinterpret_cast<sockaddr_in6*>(&out.storage);
-    if (inet_pton(AF_INET, a.host.c_str(), &four->sin_addr) == 1) {
-        four->sin_family = AF_INET;
-        four->sin_port = htons(a.port);
-        out.size = sizeof *four;
-    } else if (inet_pton(AF_INET6, a.host.c_str(), &six->sin6_addr) == 1) {
-        six->sin6_family = AF_INET6;
-        six->sin6_port = htons(a.port);
-        out.size = sizeof *six;
-    }
-    return out;  // size 0: not a numeric address
+    auto* ipv4 = reinterpret_cast<sockaddr_in*>(&out.storage);
+    auto* ipv6 = reinterpret_cast<sockaddr_in6*>(&out.storage);
+    if (inet_pton(AF_INET, a.host.c_str(), &ipv4->sin_addr) == 1) {
+        ipv4->sin_family = AF_INET;
+        ipv4->sin_port = htons(a.port);
+        out.size = sizeof *ipv4;
+    } else if (inet_pton(AF_INET6, a.host.c_str(), &ipv6->sin6_addr) == 1) {
+        ipv6->sin6_family = AF_INET6;
+        ipv6->sin6_port = htons(a.port);
+        out.size = sizeof *ipv6;
+    }
+    return out;  // size 0 if the host is not a numeric address
 }
 
-Address from_system(const SocketAddress& s) {
+Address to_address(const SocketAddress& s) {
     std::array<char, INET6_ADDRSTRLEN> text{};
     if (s.storage.ss_family == AF_INET) {
-        const auto* four = reinterpret_cast<const sockaddr_in*>(&s.storage);
-        inet_ntop(AF_INET, &four->sin_addr, text.data(), text.size());
-        return {text.data(), ntohs(four->sin_port)};
+        const auto* ipv4 = reinterpret_cast<const sockaddr_in*>(&s.storage);
+        inet_ntop(AF_INET, &ipv4->sin_addr, text.data(), text.size());
+        return {text.data(), ntohs(ipv4->sin_port)};
     }
     if (s.storage.ss_family == AF_INET6) {
-        const auto* six = reinterpret_cast<const sockaddr_in6*>(&s.storage);
-        inet_ntop(AF_INET6, &six->sin6_addr, text.data(), text.size());
-        return {text.data(), ntohs(six->sin6_port)};
+        const auto* ipv6 = reinterpret_cast<const sockaddr_in6*>(&s.storage);
+        inet_ntop(AF_INET6, &ipv6->sin6_addr, text.data(), text.size());
+        return {text.data(), ntohs(ipv6->sin6_port)};
     }
     return {"0.0.0.0", 0};
 }
 
-StreamCloseReason closing_of(int error) {
+// The reason for a connection attempt that failed with this errno.
+StreamCloseReason close_reason_of(int error) {
     switch (error) {
         case ECONNREFUSED:
             return StreamCloseReason::refused;
@@ -99,12 +104,12 @@
 struct EvLoop::Impl {
     explicit Impl(std::uint64_t seed) : random(seed) {
         ev = ev_loop_new(EVFLAG_AUTO);
-        if (!ev) throw std::runtime_error("libev can't start an event loop");
+        if (!ev) throw std::runtime_error("libev can't create an event loop");
         ev_timer_init(&timer, on_timer, 0, 0);
         timer.data = this;
         static_assert(EV_MINPRI < kDatagramPriority && kDialledPriority < EV_MAXPRI);
-        // After a stop of its own a process reads what waits before it judges by its timers that others were
-        // silent.
+        // Timers have the lowest priority: a process that was stopped has to read its pending input before
+        // its timers conclude that the peers did not answer.
         ev_set_priority(&timer, EV_MINPRI);
         ev_prepare_init(&prepare, on_prepare);
         prepare.data = this;
@@ -118,12 +123,13 @@
         now = clock_ms(CLOCK_MONOTONIC);
     }
     ~Impl() {
-        // Tasks that never ran may hold streams, which need the loop to be closed; those may add tasks.
+        // Tasks that never ran may own streams, which need the loop for closing, and closing those may add
+        // tasks.
         while (!timers.empty()) {
             TimerQueue old;
             std::swap(old, timers);
         }
-        for (auto& one : signals) ev_signal_stop(ev, &one.watcher);
+        for (auto& signal : signals) ev_signal_stop(ev, &signal.watcher);
         ev_ref(ev), ev_prepare_stop(ev, &prepare);
         ev_ref(ev), ev_check_stop(ev, &check);
         ev_timer_stop(ev, &timer);
@@ -132,7 +138,7 @@
     Impl(const Impl&) = delete;
     Impl& operator=(const Impl&) = delete;
 
-    // Before waiting: sleep until the first timer. After: take the time once for the whole turn.
+    // Runs before the loop waits for events: limits the wait to the first timer's due time.
     static void on_prepare(struct ev_loop* loop, ev_prepare* w, int) {
         auto* self = static_cast<Impl*>(w->data);
         ev_timer_stop(loop, &self->timer);
@@ -142,22 +148,25 @@
         ev_timer_set(&self->timer, wait, 0);
         ev_timer_start(loop, &self->timer);
     }
+    // Runs after the wait: reads the clock once for the whole turn.
     static void on_check(struct ev_loop*, ev_check* w, int) {
         static_cast<Impl*>(w->data)->now = clock_ms(CLOCK_MONOTONIC);
     }
     static void on_timer(struct ev_loop*, ev_timer* w, int) {
         auto* self = static_cast<Impl*>(w->data);
-        // A wait that a signal broke off (the one that continues a stopped process too) brings no input
-        // though there is some. Timers that are late by so much wait for one more look.
-        if (!self->looked_again && !self->timers.empty() && self->now - self->timers.first_due() > kLate) {
-            self->looked_again = true;
+        // A wait interrupted by a signal (also SIGCONT after a stop) reports no input even if there is some.
+        // Timers that are this late are therefore postponed until input has been polled once more.
+        if (!self->input_rechecked && !self->timers.empty() &&
+            self->now - self->timers.first_due() > kLateTimerThreshold) {
+            self->input_rechecked = true;
             return;
         }
-        self->looked_again = false;
-        const std::uint64_t before = self->timers.last_id();
-        while (Task task = self->timers.take_due(self->now, before)) task();
+        self->input_rechecked = false;
+        const std::uint64_t max_id = self->timers.last_id();
+        while (Task task = self->timers.take_due(self->now, max_id)) task();
     }
 
+    // A signal watcher and the task that it runs.
     struct SignalTask {
         ev_signal watcher;
         Task task;
@@ -168,7 +177,7 @@
     ev_prepare prepare;
     ev_check check;
     Time now;
-    bool looked_again = false;
+    bool input_rechecked = false;
     TimerQueue timers;
     std::mt19937_64 random;
     std::list<SignalTask> signals;
@@ -178,33 +187,36 @@
 
 using Impl = EvLoop::Impl;
 
+// A connected or connecting TCP socket.
 class EvStream : public Stream {
-    // Outlives the stream while one of its callbacks runs.
+    // Kept alive by the callbacks, because the handler may destroy the stream during one.
     struct State {
         Impl* loop = nullptr;
         int fd = -1;
         ev_io io{};
-        ev_timer dialling{};
+        ev_timer connect_timer{};
         StreamHandler* handler = nullptr;
-        std::string out;
-        std::size_t sent = 0;  // of `out`
+        std::string out;       // output buffer
+        std::size_t sent = 0;  // bytes of `out` that were sent
         bool connected = true, paused = false, ending = false, end_sent = false, peer_ended = false;
-        bool closed = false;     // nothing more is told
-        bool late_tell = false;  // a failure found inside a call is told from the loop
-        StreamCloseReason late_why = StreamCloseReason::reset;
+        bool closed = false;           // the handler gets no more events
+        bool failure_pending = false;  // found during a call of the owner; reported from the loop
+        StreamCloseReason failure_reason = StreamCloseReason::reset;
         Address peer, local;
-        std::shared_ptr<State> self;  // while a watcher is active
+        std::shared_ptr<State> self;  // keeps the state alive until the stream is destroyed
 
+        // Closes the socket without an event to the handler.
         void release() {
             if (fd >= 0) {
                 ev_io_stop(loop->ev, &io);
-                ev_timer_stop(loop->ev, &dialling);
+                ev_timer_stop(loop->ev, &connect_timer);
                 ::close(fd);
                 fd = -1;
             }
             closed = true;
         }
-        void interest() {
+        // Sets the events that the watcher waits for.
+        void update_events() {
             if (fd < 0) return;
             int events = 0;
             if (!connected || sent < out.size()) events |= EV_WRITE;
@@ -214,12 +226,13 @@
             ev_io_set(&io, fd, events);
             if (events) ev_io_start(loop->ev, &io);
         }
-        void close_with(StreamCloseReason why) {
+        // Closes the socket and tells the handler.
+        void close(StreamCloseReason reason) {
             if (closed) return;
             release();
-            if (handler) handler->on_closed(why);
+            if (handler) handler->on_closed(reason);
         }
-        // True: everything has left.
+        // Sends as much as the socket takes; true if nothing is left in the buffer.
         bool flush() {
             while (sent < out.size()) {
                 const ssize_t n = ::send(fd, out.data() + sent, out.size() - sent, MSG_NOSIGNAL);
@@ -230,7 +243,7 @@
                 } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
                     break;
                 } else {
-                    late_tell = true;
+                    failure_pending = true;
                     break;
                 }
             }
@@ -255,31 +268,31 @@
         ev_io_init(&s.io, on_io, fd, 0);
         ev_set_priority(&s.io, connected ? kAcceptedPriority : kDialledPriority);
         s.io.data = &s;
-        ev_timer_init(&s.dialling, on_dial_timeout, 0, 0);
-        s.dialling.data = &s;
+        ev_timer_init(&s.connect_timer, on_connect_timeout, 0, 0);
+        s.connect_timer.data = &s;
         const int one = 1;
         ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-        learn_addresses(s);
+        update_addresses(s);
         s.self = state_;
-        s.interest();
+        s.update_events();
     }
     ~EvStream() override {
         State& s = *state_;
         s.handler = nullptr;
         if (s.fd >= 0) {
-            // Bytes not taken, or a peer that still sends: it is to see a reset, not an end that looks whole.
+            // With unsent bytes or without our end sent, the peer has to see a reset, not an orderly end.
             if (s.sent < s.out.size() || !s.end_sent) {
-                const linger hard{1, 0};
-                ::setsockopt(s.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+                const linger abortive{1, 0};
+                ::setsockopt(s.fd, SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
             }
             s.release();
         }
         s.self.reset();
     }
-    void dial_until(Time timeout) {
+    void start_connect_timeout(Time timeout) {
         ev_now_update(state_->loop->ev);
-        ev_timer_set(&state_->dialling, timeout / 1e3, 0);
-        ev_timer_start(state_->loop->ev, &state_->dialling);
+        ev_timer_set(&state_->connect_timer, timeout / 1e3, 0);
+        ev_timer_start(state_->loop->ev, &state_->connect_timer);
     }
     void set_peer(const Address& peer) { state_->peer = peer; }
 
@@ -290,8 +303,8 @@
         const bool idle = s.sent == s.out.size();
         s.out.append(bytes);
         if (idle && s.connected) s.flush();
-        s.interest();
-        if (s.late_tell) call_later(s);
+        s.update_events();
+        if (s.failure_pending) schedule_callback(s);
     }
     std::size_t pending() const override { return state_->out.size() - state_->sent; }
     void end() override {
@@ -299,48 +312,49 @@
         if (s.closed || s.ending) return;
         s.ending = true;
         if (s.connected && s.sent == s.out.size()) s.flush();
-        if (s.peer_ended && s.end_sent) call_later(s);
+        if (s.peer_ended && s.end_sent) schedule_callback(s);
     }
-    void pause() override { state_->paused = true, state_->interest(); }
-    void resume() override { state_->paused = false, state_->interest(); }
+    void pause() override { state_->paused = true, state_->update_events(); }
+    void resume() override { state_->paused = false, state_->update_events(); }
     void read_available() override {
-        const auto keep = state_;
-        State& s = *keep;
+        const auto state = state_;
+        State& s = *state;
         if (s.closed || !s.connected || s.paused || s.peer_ended) return;
         read(s);
         if (s.closed) return;
-        s.interest();
-        if (s.peer_ended && s.end_sent) call_later(s);
+        s.update_events();
+        if (s.peer_ended && s.end_sent) schedule_callback(s);
     }
     Address peer() const override { return state_->peer; }
     Address local() const override { return state_->local; }
 
   private:
-    static void learn_addresses(State& s) {
+    static void update_addresses(State& s) {
         SocketAddress a;
         a.size = sizeof a.storage;
-        if (::getpeername(s.fd, a.get(), &a.size) == 0) s.peer = from_system(a);
+        if (::getpeername(s.fd, a.get(), &a.size) == 0) s.peer = to_address(a);
         a.size = sizeof a.storage;
-        if (::getsockname(s.fd, a.get(), &a.size) == 0) s.local = from_system(a);
+        if (::getsockname(s.fd, a.get(), &a.size) == 0) s.local = to_address(a);
     }
-    // What is found inside a call is told from the loop; call after interest(), which forgets what was fed.
-    static void call_later(State& s) { ev_feed_event(s.loop->ev, &s.io, EV_READ); }
+    // Makes the loop call on_io, which reports what was found during a call of the owner. Call this after
+    // update_events(), which discards events fed to the watcher.
+    static void schedule_callback(State& s) { ev_feed_event(s.loop->ev, &s.io, EV_READ); }
 
-    static void on_dial_timeout(struct ev_loop*, ev_timer* w, int) {
-        const auto keep = static_cast<State*>(w->data)->self;
-        keep->close_with(StreamCloseReason::unreachable);
+    static void on_connect_timeout(struct ev_loop*, ev_timer* w, int) {
+        const auto state = static_cast<State*>(w->data)->self;
+        state->close(StreamCloseReason::unreachable);
     }
     static void on_io(struct ev_loop* loop, ev_io* w, int events) {
-        const auto keep = static_cast<State*>(w->data)->self;
-        State& s = *keep;
+        const auto state = static_cast<State*>(w->data)->self;
+        State& s = *state;
         if (!s.connected) {
             int error = 0;
             socklen_t size = sizeof error;
             ::getsockopt(s.fd, SOL_SOCKET, SO_ERROR, &error, &size);
-            if (error) return s.close_with(closing_of(error));
+            if (error) return s.close(close_reason_of(error));
             s.connected = true;
-            ev_timer_stop(loop, &s.dialling);
-            learn_addresses(s);
+            ev_timer_stop(loop, &s.connect_timer);
+            update_addresses(s);
             if (s.handler) s.handler->on_open();
             if (s.closed) return;
         }
@@ -348,23 +362,24 @@
         if (s.closed) return;
         if ((events & EV_WRITE) && s.sent < s.out.size()) {
             const bool done = s.flush();
-            if (s.late_tell) return s.close_with(StreamCloseReason::reset);
+            if (s.failure_pending) return s.close(StreamCloseReason::reset);
             if (done && s.handler) s.handler->on_flushed();
         }
         if (s.closed) return;
-        if (s.late_tell) return s.close_with(StreamCloseReason::reset);
+        if (s.failure_pending) return s.close(StreamCloseReason::reset);
         if (s.ending && s.sent == s.out.size() && !s.end_sent) s.flush();
-        if (s.peer_ended && s.end_sent) return s.close_with(StreamCloseReason::clean);
-        s.interest();
+        if (s.peer_ended && s.end_sent) return s.close(StreamCloseReason::clean);
+        s.update_events();
     }
-    // A callback may have another stream read (read_available) while it holds the bytes of its own.
+    // Uses a shared buffer, unless it is in use: a callback may read another stream (read_available) while it
+    // still holds the bytes of its own.
     static void read(State& s) {
         static thread_local bool in_callback = false;
         if (in_callback) {
-            std::vector<char> buffer(kReadATurn);
+            std::vector<char> buffer(kMaxReadBytes);
             return read_into(s, buffer);
         }
-        static thread_local std::vector<char> buffer(kReadATurn);
+        static thread_local std::vector<char> buffer(kMaxReadBytes);
         struct Guard {
             Guard() { in_callback = true; }
             ~Guard() { in_callback = false; }
@@ -379,20 +394,20 @@
             s.peer_ended = true;
             if (s.handler) s.handler->on_end();
         } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-            s.close_with(StreamCloseReason::reset);
+            s.close(StreamCloseReason::reset);
         }
     }
 
     std::shared_ptr<State> state_;
 };
 
-// A dial that failed at once; told from the loop.
+// A stream whose connection attempt failed within dial(); the failure is reported from the loop.
 class FailedStream : public Stream {
   public:
-    FailedStream(Loop* loop, const Address& peer, StreamCloseReason why, StreamHandler* handler)
+    FailedStream(Loop* loop, const Address& peer, StreamCloseReason reason, StreamHandler* handler)
         : peer_(peer), handler_(handler) {
-        timer_ = loop->after(0, [this, why] {
-            if (handler_) handler_->on_closed(why);
+        timer_ = loop->after(0, [this, reason] {
+            if (handler_) handler_->on_closed(reason);
         });
     }
     void set_handler(StreamHandler* handler) override { handler_ = handler; }
@@ -413,21 +428,21 @@
 
 class EvListener : public Listener {
   public:
-    EvListener(Impl* loop, int fd, Loop::AcceptHandler accept)
-        : loop_(loop), fd_(fd), accept_(std::move(accept)) {
+    EvListener(Impl* loop, int fd, Loop::AcceptHandler on_accept)
+        : loop_(loop), fd_(fd), on_accept_(std::move(on_accept)) {
         ev_io_init(&io_, on_io, fd, EV_READ);
         io_.data = this;
         ev_io_start(loop_->ev, &io_);
-        ev_timer_init(&rest_, on_rested, 0, 0);
-        rest_.data = this;
+        ev_timer_init(&retry_timer_, on_retry, 0, 0);
+        retry_timer_.data = this;
         SocketAddress a;
         a.size = sizeof a.storage;
-        if (::getsockname(fd_, a.get(), &a.size) == 0) address_ = from_system(a);
+        if (::getsockname(fd_, a.get(), &a.size) == 0) address_ = to_address(a);
     }
     ~EvListener() override {
-        if (gone_) *gone_ = true;
+        if (destroyed_) *destroyed_ = true;
         ev_io_stop(loop_->ev, &io_);
-        ev_timer_stop(loop_->ev, &rest_);
+        ev_timer_stop(loop_->ev, &retry_timer_);
         ::close(fd_);
     }
     Address address() const override { return address_; }
@@ -435,85 +450,86 @@
     void resume() override { paused_ = false, ev_io_start(loop_->ev, &io_); }
 
   private:
-    static void on_rested(struct ev_loop*, ev_timer* w, int) {
+    static void on_retry(struct ev_loop*, ev_timer* w, int) {
         auto* self = static_cast<EvListener*>(w->data);
         if (!self->paused_) ev_io_start(self->loop_->ev, &self->io_);
     }
     static void on_io(struct ev_loop*, ev_io* w, int) {
         auto* self = static_cast<EvListener*>(w->data);
-        bool gone = false;
-        self->gone_ = &gone;
-        for (int k = 0; k < kAcceptsATurn && !gone && !self->paused_; ++k) {
+        bool destroyed = false;
+        self->destroyed_ = &destroyed;
+        for (int k = 0; k < kMaxAcceptsPerTurn && !destroyed && !self->paused_; ++k) {
             const int fd = ::accept4(self->fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
             if (fd < 0) {
                 if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
                     ev_io_stop(self->loop_->ev, &self->io_);
-                    ev_timer_set(&self->rest_, kAcceptRest_s, 0);
-                    ev_timer_start(self->loop_->ev, &self->rest_);
+                    ev_timer_set(&self->retry_timer_, kAcceptRetryDelay_s, 0);
+                    ev_timer_start(self->loop_->ev, &self->retry_timer_);
                 }
                 break;
             }
-            self->accept_(std::make_unique<EvStream>(self->loop_, fd, true, nullptr));
+            self->on_accept_(std::make_unique<EvStream>(self->loop_, fd, true, nullptr));
         }
-        if (!gone) self->gone_ = nullptr;
+        if (!destroyed) self->destroyed_ = nullptr;
     }
 
     Impl* loop_;
     int fd_;
-    Loop::AcceptHandler accept_;
+    Loop::AcceptHandler on_accept_;
     ev_io io_{};
-    ev_timer rest_{};
+    ev_timer retry_timer_{};
     bool paused_ = false;
-    bool* gone_ = nullptr;
+    bool* destroyed_ = nullptr;  // set to true by the destructor while on_io runs
     Address address_;
 };
 
 class EvDatagramSocket : public DatagramSocket {
   public:
-    EvDatagramSocket(Impl* loop, int fd, ReceiveHandler heard)
-        : loop_(loop), fd_(fd), heard_(std::move(heard)) {
+    EvDatagramSocket(Impl* loop, int fd, ReceiveHandler on_receive)
+        : loop_(loop), fd_(fd), on_receive_(std::move(on_receive)) {
         ev_io_init(&io_, on_io, fd, EV_READ);
         ev_set_priority(&io_, kDatagramPriority);
         io_.data = this;
         ev_io_start(loop_->ev, &io_);
     }
     ~EvDatagramSocket() override {
-        if (gone_) *gone_ = true;
+        if (destroyed_) *destroyed_ = true;
         ev_io_stop(loop_->ev, &io_);
         ::close(fd_);
     }
     void send(const Address& to, std::string_view bytes) override {
-        const SocketAddress a = to_system(to);
+        const SocketAddress a = to_sockaddr(to);
         if (a.size == 0) return;
         if (::sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, a.get(), a.size) < 0) return;
     }
     Address address() const override {
         SocketAddress a;
         a.size = sizeof a.storage;
-        return ::getsockname(fd_, a.get(), &a.size) == 0 ? from_system(a) : Address{};
+        return ::getsockname(fd_, a.get(), &a.size) == 0 ? to_address(a) : Address{};
     }
 
   private:
     static void on_io(struct ev_loop*, ev_io* w, int) {
-        static thread_local std::array<char, kReadATurn> buffer;
+        static thread_local std::array<char, kMaxReadBytes> buffer;
         auto* self = static_cast<EvDatagramSocket*>(w->data);
-        bool gone = false;
-        self->gone_ = &gone;
-        for (int k = 0; k < kDatagramsATurn && !gone; ++k) {
+        bool destroyed = false;
+        self->destroyed_ = &destroyed;
+        for (int k = 0; k < kMaxDatagramsPerTurn && !destroyed; ++k) {
             SocketAddress from;
             from.size = sizeof from.storage;
             const ssize_t n = ::recvfrom(self->fd_, buffer.data(), buffer.size(), 0, from.get(), &from.size);
-            if (n < 0) break;  // nothing more, or an error of one sent before: both are over with it
-            self->heard_(from_system(from), {buffer.data(), static_cast<std::size_t>(n)});
+            // No more datagrams, or the pending error of an earlier send, which this call has cleared.
+            if (n < 0) break;
+            self->on_receive_(to_address(from), {buffer.data(), static_cast<std::size_t>(n)});
         }
-        if (!gone) self->gone_ = nullptr;
+        if (!destroyed) self->destroyed_ = nullptr;
     }
 
     Impl* loop_;
     int fd_;
-    ReceiveHandler heard_;
+    ReceiveHandler on_receive_;
     ev_io io_{};
-    bool* gone_ = nullptr;
+    bool* destroyed_ = nullptr;  // set to true by the destructor while on_io runs
 };
 
 }  // namespace
@@ -526,8 +542,8 @@
 std::uint64_t EvLoop::schedule(Time when, Task task) { return impl_->timers.add(when, std::move(task)); }
 void EvLoop::cancel(std::uint64_t id) { impl_->timers.cancel(id); }
 void EvLoop::run() {
-    // A timer set before the run, or a task in a watcher's callback, must wake the loop even if nothing else
-    // is watched: the loop is kept alive by one reference until stop().
+    // The extra reference keeps the loop running until stop() even if nothing else is watched: a timer set
+    // before run(), or a task added by a watcher's callback, still has to wake it.
     impl_->now = clock_ms(CLOCK_MONOTONIC);
     ev_ref(impl_->ev);
     ev_run(impl_->ev, 0);
@@ -535,21 +551,21 @@
 }
 void EvLoop::stop() { ev_break(impl_->ev, EVBREAK_ALL); }
 void EvLoop::on_signal(int number, Task task) {
-    auto& one = impl_->signals.emplace_back();
-    one.task = std::move(task);
+    auto& signal = impl_->signals.emplace_back();
+    signal.task = std::move(task);
     ev_signal_init(
-        &one.watcher,
+        &signal.watcher,
         [](struct ev_loop*, ev_signal* w, int) { static_cast<Impl::SignalTask*>(w->data)->task(); }, number);
-    one.watcher.data = &one;
-    ev_signal_start(impl_->ev, &one.watcher);
+    signal.watcher.data = &signal;
+    ev_signal_start(impl_->ev, &signal.watcher);
     ev_unref(impl_->ev);
 }
 
-std::unique_ptr<Listener> EvLoop::listen(const Address& address, AcceptHandler accept) {
+std::unique_ptr<Listener> EvLoop::listen(const Address& address, AcceptHandler on_accept) {
     const auto fail = [&](const char* what) {
         return std::runtime_error("can't listen on " + address.text() + ": " + what);
     };
-    const SocketAddress a = to_system(address);
+    const SocketAddress a = to_sockaddr(address);
     if (a.size == 0) throw fail("not a numeric address");
     const int fd = ::socket(a.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) throw fail(std::strerror(errno));
@@ -560,32 +576,32 @@
         ::close(fd);
         throw fail(std::strerror(error));
     }
-    return std::make_unique<EvListener>(impl_.get(), fd, std::move(accept));
+    return std::make_unique<EvListener>(impl_.get(), fd, std::move(on_accept));
 }
 
 std::unique_ptr<Stream> EvLoop::dial(const Address& address, Time timeout, StreamHandler* handler) {
-    const SocketAddress a = to_system(address);
+    const SocketAddress a = to_sockaddr(address);
     if (a.size == 0)
         return std::make_unique<FailedStream>(this, address, StreamCloseReason::unreachable, handler);
     const int fd = ::socket(a.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd < 0) return std::make_unique<FailedStream>(this, address, closing_of(errno), handler);
+    if (fd < 0) return std::make_unique<FailedStream>(this, address, close_reason_of(errno), handler);
     if (::connect(fd, a.get(), a.size) != 0 && errno != EINPROGRESS) {
-        const StreamCloseReason why = closing_of(errno);
+        const StreamCloseReason reason = close_reason_of(errno);
         ::close(fd);
-        return std::make_unique<FailedStream>(this, address, why, handler);
+        return std::make_unique<FailedStream>(this, address, reason, handler);
     }
     auto stream = std::make_unique<EvStream>(impl_.get(), fd, false, handler);
     stream->set_peer(address);
-    stream->dial_until(timeout);
+    stream->start_connect_timeout(timeout);
     return stream;
 }
 
 std::unique_ptr<DatagramSocket> EvLoop::open_datagram_socket(const Address& local,
-                                                             DatagramSocket::ReceiveHandler heard) {
+                                                             DatagramSocket::ReceiveHandler on_receive) {
     const auto fail = [&](const char* what) {
-        return std::runtime_error("no datagrams at " + local.text() + ": " + what);
+        return std::runtime_error("can't open a datagram socket on " + local.text() + ": " + what);
     };
-    const SocketAddress a = to_system(local);
+    const SocketAddress a = to_sockaddr(local);
     if (a.size == 0) throw fail("not a numeric address");
     const int fd = ::socket(a.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) throw fail(std::strerror(errno));
@@ -594,7 +610,7 @@
         ::close(fd);
         throw fail(std::strerror(error));
     }
-    return std::make_unique<EvDatagramSocket>(impl_.get(), fd, std::move(heard));
+    return std::make_unique<EvDatagramSocket>(impl_.get(), fd, std::move(on_receive));
 }
 
 std::uint64_t system_seed() {
--- a/src/io/ev/ev_loop.hpp
+++ b/src/io/ev/ev_loop.hpp
@@ -1,10 +1,12 @@
-// The seam on libev and non-blocking sockets. The one place that asks the system for time and sockets.
+// The loop on libev and non-blocking sockets: the only place that asks the operating system for time and
+// sockets.
 #pragma once
 
 #include "io/loop.hpp"
 
 namespace ivyfield::io {
 
+// A Loop on the operating system's sockets and clock.
 class EvLoop : public Loop {
   public:
     explicit EvLoop(std::uint64_t seed);
@@ -14,15 +16,15 @@
 
     Time now() const override;
     double wall_ms() const override;
-    std::unique_ptr<Listener> listen(const Address& address, AcceptHandler accept) override;
+    std::unique_ptr<Listener> listen(const Address& address, AcceptHandler on_accept) override;
     std::unique_ptr<Stream> dial(const Address& address, Time timeout, StreamHandler* handler) override;
     std::unique_ptr<DatagramSocket> open_datagram_socket(const Address& local,
-                                                         DatagramSocket::ReceiveHandler heard) override;
+                                                         DatagramSocket::ReceiveHandler on_receive) override;
     std::mt19937_64& random() override;
 
-    // Runs until stop() is called. Signals named here call the handler on the loop.
-    void run();
+    void run();  // until stop() is called
     void stop();
+    // Runs the task on the loop for each signal of that number.
     void on_signal(int number, Task task);
 
     struct Impl;
@@ -35,7 +37,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-// A seed from the system, for programs that were told none.
+// A random seed from the operating system, for programs that were given none.
 std::uint64_t system_seed();
 
 }  // namespace ivyfield::io
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -1,9 +1,10 @@
-// The seam between everything that acts and the world: clock, timers, byte streams, listeners, dialling and
-// seeded randomness. Code above this header runs unchanged on sockets (io/ev) and on simulated time with an
-// in-memory network (io/virtual); it never asks the operating system for any of these.
+// The interface between the application code and its environment: clock, timers, byte streams, listeners,
+// outgoing connections, datagram sockets and seeded randomness. Code above this header runs unchanged on
+// sockets (io/ev) and on simulated time with an in-memory network (io/virtual); it never asks the operating
+// system for any of these directly.
 //
-// Units: times are milliseconds as double, on a clock that never goes back and has no meaning outside one
-// machine. Threads: none; every callback runs on the loop, one at a time, and may destroy any object.
+// Units: times are milliseconds as double, on a monotonic clock that has no meaning outside one machine.
+// Threads: none; every callback runs on the loop, one at a time, and may destroy any object.
 #pragma once
 
 #include <cstddef>
@@ -18,13 +19,13 @@
 
 using Time = double;  // milliseconds
 
-// A numeric IP address and port. Names are not resolved: a list of servers names addresses.
+// A numeric IP address and port. Host names are not resolved: server lists contain addresses.
 struct Address {
     std::string host = "127.0.0.1";
     std::uint16_t port = 0;
 
     std::string text() const;  // "127.0.0.1:80", "[::1]:80"
-    // Reads the form that text() writes; throws std::invalid_argument that names what is wrong.
+    // Parses the form that text() writes; throws std::invalid_argument with the reason.
     static Address parse(std::string_view text);
     friend bool operator==(const Address& a, const Address& b) {
         return a.port == b.port && a.host == b.host;
@@ -35,64 +36,68 @@
     }
 };
 
-// Why a stream is over. Those before `reset` prove that the peer received nothing from it.
+// Why a stream was closed. The values before `reset` prove that the peer received nothing on the stream.
 enum class StreamCloseReason {
-    refused,       // nobody listens there
-    unreachable,   // no way there, or no answer before the dial's time was up
-    no_resources,  // this process may not open another
-    reset,         // broke, or the peer closed it while bytes of ours were under way
-    clean          // both sides have ended
+    refused,       // no listener at that address
+    unreachable,   // no route, or no answer before the connect timeout
+    no_resources,  // this process can't open another socket
+    reset,         // connection error, or the peer closed it while our bytes were still in flight
+    clean          // both sides have ended their direction
 };
-const char* name(StreamCloseReason why);
+const char* name(StreamCloseReason reason);
 
 class Stream;
 
-// What a stream tells its owner. After on_closed nothing more comes.
+// Receives the events of one stream. on_closed is the last event.
 class StreamHandler {
   public:
     virtual ~StreamHandler() = default;
     virtual void on_open() {}                          // a dialled stream is connected
-    virtual void on_data(std::string_view bytes) = 0;  // valid during the call only
-    virtual void on_end() = 0;                         // the peer sends no more; we still may
+    virtual void on_data(std::string_view bytes) = 0;  // `bytes` are valid during the call only
+    virtual void on_end() = 0;                         // the peer ended its direction; we may still write
     virtual void on_flushed() {}                       // everything written has left this process
-    virtual void on_closed(StreamCloseReason why) = 0;
+    virtual void on_closed(StreamCloseReason reason) = 0;
 };
 
-// One connection. Destroying it closes at once, unsent bytes are lost and the peer sees a reset; the
-// handler is told nothing then.
+// One connection. Destroying it closes it at once: unsent bytes are lost, the peer sees a reset, and the
+// handler gets no further events.
 class Stream {
   public:
     virtual ~Stream() = default;
     virtual void set_handler(StreamHandler* handler) = 0;
-    // Bytes are kept until the peer takes them; pending() is how many, and the owner bounds it.
+    // Buffers the bytes until the peer takes them. pending() is the number of buffered bytes; the owner has
+    // to bound it.
     virtual void write(std::string_view bytes) = 0;
     virtual std::size_t pending() const = 0;
-    // No more writes; what is pending still leaves, then the peer sees our end.
+    // Ends our direction: no more writes are accepted, pending bytes are still sent, then the peer sees the
+    // end.
     virtual void end() = 0;
-    // While paused no on_data and no on_end come, and the peer feels it once buffers are full.
+    // While paused, on_data and on_end are not called; the peer is held back once the buffers are full.
     virtual void pause() = 0;
     virtual void resume() = 0;
-    // Hands over, within this call, what has arrived and was not read yet, as far as one read takes it: a
-    // connection that looks idle may have a request in its buffer. The handler may destroy the stream.
+    // Delivers, within this call, bytes that have arrived but were not read yet, as far as one read takes
+    // them: a connection that looks idle may have a request in its buffer. The handler may destroy the
+    // stream.
     virtual void read_available() = 0;
     virtual Address peer() const = 0;
     virtual Address local() const = 0;
 };
 
+// A listening socket. Destroying it closes it.
 class Listener {
   public:
     virtual ~Listener() = default;
-    virtual Address address() const = 0;  // with the port chosen, where 0 was asked
-    // While paused nothing is accepted; connections wait in the system's queue.
+    virtual Address address() const = 0;  // with the assigned port if port 0 was requested
+    // While paused, nothing is accepted; connections wait in the system's backlog.
     virtual void pause() = 0;
     virtual void resume() = 0;
 };
 
-// One socket for datagrams. What can't be sent is lost without a word, as on any network.
+// A datagram socket. A datagram that can't be sent is dropped without an error, as on any network.
 class DatagramSocket {
   public:
-    using ReceiveHandler =
-        std::function<void(const Address& from, std::string_view bytes)>;  // bytes: during the call
+    // `bytes` are valid during the call only.
+    using ReceiveHandler = std::function<void(const Address& from, std::string_view bytes)>;
     virtual ~DatagramSocket() = default;
     virtual void send(const Address& to, std::string_view bytes) = 0;
     virtual Address address() const = 0;
@@ -100,7 +105,7 @@
 
 class Loop;
 
-// A timer that is called off when it is destroyed or set anew.
+// Owns a scheduled timer; destroying it or assigning to it cancels the timer.
 class Timer {
   public:
     Timer() = default;
@@ -115,32 +120,35 @@
     std::uint64_t id_ = 0;
 };
 
+// The event loop of one process.
 class Loop {
   public:
     using Task = std::function<void()>;
     using AcceptHandler = std::function<void(std::unique_ptr<Stream>)>;
 
     virtual ~Loop() = default;
-    // Stands still during a callback.
+    // The monotonic time; does not advance during a callback.
     virtual Time now() const = 0;
-    // Milliseconds since 1970, for logs and records only: it may jump.
+    // Milliseconds since 1970, for logs and records only: the wall clock may jump.
     virtual double wall_ms() const = 0;
-    // Runs the task at that time, never within this call; tasks of one time run in the order asked.
+    // Runs the task at that time, never within this call; tasks due at the same time run in the order in
+    // which they were scheduled.
     [[nodiscard]] Timer at(Time when, Task task) { return Timer(this, schedule(when, std::move(task))); }
     [[nodiscard]] Timer after(Time delay, Task task) { return at(now() + delay, std::move(task)); }
-    // Runs the task soon, for certain.
+    // Runs the task as soon as possible, never within this call; it can't be cancelled.
     void post(Task task) { schedule(now(), std::move(task)); }
 
-    // Throws std::runtime_error that names the address when it can't be had.
-    virtual std::unique_ptr<Listener> listen(const Address& address, AcceptHandler accept) = 0;
-    // Never fails in the call: what goes wrong comes as on_closed, later. Bytes may be written at once.
+    // Throws std::runtime_error that names the address if it can't be bound.
+    virtual std::unique_ptr<Listener> listen(const Address& address, AcceptHandler on_accept) = 0;
+    // Connects to the address. Never fails within the call: errors are reported later by on_closed. Bytes may
+    // be written at once.
     virtual std::unique_ptr<Stream> dial(const Address& address, Time timeout, StreamHandler* handler) = 0;
 
-    // Port 0: any that is free. Throws std::runtime_error that names the address when it can't be had.
-    virtual std::unique_ptr<DatagramSocket> open_datagram_socket(const Address& local,
-                                                                 DatagramSocket::ReceiveHandler heard) = 0;
+    // Port 0 binds any free port. Throws std::runtime_error that names the address if it can't be bound.
+    virtual std::unique_ptr<DatagramSocket> open_datagram_socket(
+        const Address& local, DatagramSocket::ReceiveHandler on_receive) = 0;
 
-    // The one source of randomness, seeded when the loop is made.
+    // The only source of randomness; seeded when the loop is created.
     virtual std::mt19937_64& random() = 0;
 
   protected:
--- a/src/io/timers.hpp
+++ b/src/io/timers.hpp
@@ -1,4 +1,4 @@
-// The queue of timers that both loops use, so that order at equal times is the same on each.
+// The timer queue used by both loops, so that timers due at the same time run in the same order on each.
 #pragma once
 
 #include <map>
@@ -8,39 +8,41 @@
 
 namespace ivyfield::io {
 
+// Tasks ordered by due time, then by insertion.
 class TimerQueue {
   public:
     std::uint64_t add(Time when, Loop::Task task) {
-        const std::uint64_t id = ++last_;
+        const std::uint64_t id = ++last_id_;
         queue_.emplace(std::make_pair(when, id), std::move(task));
-        when_.emplace(id, when);
+        due_times_.emplace(id, when);
         return id;
     }
     void cancel(std::uint64_t id) {
-        const auto it = when_.find(id);
-        if (it == when_.end()) return;
+        const auto it = due_times_.find(id);
+        if (it == due_times_.end()) return;
         queue_.erase({it->second, id});
-        when_.erase(it);
+        due_times_.erase(it);
     }
     bool empty() const { return queue_.empty(); }
     std::size_t size() const { return queue_.size(); }
     Time first_due() const { return queue_.begin()->first.first; }
-    // The next task due, of those added before `before` (a mark from last_id()); empty when there is none.
-    Loop::Task take_due(Time now, std::uint64_t before) {
+    // Removes and returns the first task due at `now` whose id is at most `max_id`, which excludes tasks
+    // added after last_id() returned that value. Returns an empty task if there is none.
+    Loop::Task take_due(Time now, std::uint64_t max_id) {
         if (queue_.empty()) return {};
         const auto it = queue_.begin();
-        if (it->first.first > now || it->first.second > before) return {};
+        if (it->first.first > now || it->first.second > max_id) return {};
         Loop::Task task = std::move(it->second);
-        when_.erase(it->first.second);
+        due_times_.erase(it->first.second);
         queue_.erase(it);
         return task;
     }
-    std::uint64_t last_id() const { return last_; }
+    std::uint64_t last_id() const { return last_id_; }
 
   private:
-    std::uint64_t last_ = 0;
+    std::uint64_t last_id_ = 0;
     std::map<std::pair<Time, std::uint64_t>, Loop::Task> queue_;
-    std::unordered_map<std::uint64_t, Time> when_;  // looked up by id only, never walked
+    std::unordered_map<std::uint64_t, Time> due_times_;  // by id; never iterated, so its order has no effect
 };
 
 }  // namespace ivyfield::io
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -18,7 +18,7 @@
         else if (path == "-") sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
         else sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(path);
     } catch (const spdlog::spdlog_ex& e) {
-        throw std::runtime_error("log file: " + std::string(e.what()));
+        throw std::runtime_error("can't open log file: " + std::string(e.what()));
     }
     logger_ = std::make_shared<spdlog::logger>("ivyfield", sink);
     logger_->set_pattern("%v");
@@ -29,10 +29,10 @@
 
 void Log::write(Level level, double wall_ms, const char* event, const nlohmann::json& fields) {
     if (level < min_level_) return;
-    static constexpr const char* names[] = {"debug", "info", "warning", "error"};
+    static constexpr const char* level_names[] = {"debug", "info", "warning", "error"};
     nlohmann::ordered_json line;
     line["t"] = std::llround(wall_ms);
-    line["level"] = names[static_cast<int>(level)];
+    line["level"] = level_names[static_cast<int>(level)];
     line["name"] = name_;
     line["event"] = event;
     for (const auto& [key, value] : fields.items()) line[key] = value;
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,4 +1,4 @@
-// Structured logs: one JSON object a line, on spdlog. Field names are stable; operators' tools read them.
+// Structured logs: one JSON object per line, on spdlog. Field names are stable; operators' tools read them.
 #pragma once
 
 #include <memory>
@@ -13,12 +13,14 @@
 
 enum class Level { debug, info, warning, error };
 
+// A log with a minimum level.
 class Log {
   public:
-    // "-" is standard error, "" nothing at all; else a file that is appended to. Throws std::runtime_error.
+    // `path` is "-" for standard error, "" to discard everything, else a file that is appended to. `name` is
+    // the value of the "name" field. Throws std::runtime_error.
     Log(const std::string& path, Level min_level, std::string name);
     ~Log();
-    // "t" (milliseconds since 1970), "level", "name" and "event" come first, then the fields.
+    // Writes "t" (milliseconds since 1970), "level", "name" and "event", then the fields.
     void write(Level level, double wall_ms, const char* event, const nlohmann::json& fields);
     void flush();
 
--- a/tests/hints/hints_test.cpp
+++ b/tests/hints/hints_test.cpp
@@ -1,4 +1,4 @@
-// Structured fields (RFC 8941), CMCD (CTA-5004) and CMSD (CTA-5006).
+// Structured fields (RFC 8941), CMCD (CTA-5004) and CMSD (CTA-5006): decoding, encoding and invalid input.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -10,7 +10,7 @@
 
 namespace {
 
-TEST(StructuredFields, ExamplesOfTheSpecificationComeBackAlike) {
+TEST(StructuredFields, ExamplesOfTheSpecificationRoundTrip) {
     for (const char* text : {
              "sugar, tea, rum",
              "(\"foo\" \"bar\"), (\"baz\"), (\"bat\" \"one\"), ()",
@@ -31,7 +31,7 @@
         EXPECT_EQ(serialize(*dictionary), text);
     }
 }
-TEST(StructuredFields, FaultsFailTheWholeField) {
+TEST(StructuredFields, SyntaxErrorsFailTheWholeField) {
     for (const char* text : {"a,", ",a", "a b", "(a", "1.", ".5", "1.2345", "1234567890123456", "\"a",
                              "\"\\x\"", "?2", ":a", "a;B=1", "a=1", "--1", "\"\x7f\"", "1234567890123.1"})
         EXPECT_FALSE(parse_list(text)) << text;
@@ -40,7 +40,7 @@
     EXPECT_TRUE(parse_list("")->empty());
     EXPECT_EQ(serialize(*parse_dictionary("a=1, b=2, a=3")), "a=3, b=2");
 }
-TEST(StructuredFields, WhatCantBeWrittenIsSaid) {
+TEST(StructuredFields, InvalidValuesCantBeSerialized) {
     EXPECT_THROW(serialize(BareItem(std::string("é"))), std::invalid_argument);
     EXPECT_THROW(serialize(BareItem(Token{"1a"})), std::invalid_argument);
     EXPECT_THROW(serialize(BareItem(std::int64_t(1000000000000000))), std::invalid_argument);
@@ -61,7 +61,7 @@
     return out.str() + errors.str();
 }
 
-TEST(Cmcd, AllReservedKeysAndTheirTypes) {
+TEST(Cmcd, AllReservedKeysRoundTrip) {
     const std::string payload =
         "bl=21300,br=3200,bs,cid=\"faec5fc2-ac30-11ea\",com.example-t=1.5,d=4004,dl=18500,mtp=48100,"
         "nor=\"..%2F300kbps%2Ftrack%201.m4v\",nrr=\"12323-48763\",ot=v,pr=1.08,rtp=12000,sf=h,"
@@ -75,62 +75,62 @@
         "\"sid\":\"6e2fb550-c457-11e9-bb97-0800200c9a66\",\"st\":\"v\",\"su\":true,\"tb\":6000}}\n");
     EXPECT_EQ(encode("cmcd", json), payload + "\n");
 }
-TEST(Cmcd, AMalformedKeyIsDroppedAlone) {
-    const DecodedKeys d =
+TEST(Cmcd, MalformedKeyIsDroppedAlone) {
+    const DecodedKeys decoded =
         decode_keys(Vocabulary::cmcd,
                     "bl=abc,br=3200.5,ot=zz,sf=\"h\",sid=\"ok\",nrr=\"9-1\",unknown=1,BAD=1,su="
                     "1,,d=-4,x-y=(1 2),tb=5;a=1");
-    EXPECT_EQ(d.keys.values.size(), 1u);
-    EXPECT_EQ(d.keys.text("sid"), "ok");
-    EXPECT_EQ(d.dropped.size(), 12u);
-    for (const DroppedKey& one : d.dropped) EXPECT_FALSE(one.reason.empty()) << one.key;
-}
-TEST(Cmcd, AnOpenQuoteTakesWhatFollowsButNotWhatStoodBefore) {
-    const DecodedKeys d = decode_keys(Vocabulary::cmcd, "br=100,sid=\"abc,su,tb=9");
-    EXPECT_EQ(d.keys.integer("br"), 100);
-    EXPECT_EQ(d.keys.values.size(), 1u);
-    EXPECT_EQ(d.dropped.size(), 1u);
-}
-TEST(Cmcd, CommasAndEscapesInsideStrings) {
-    const DecodedKeys d = decode_keys(Vocabulary::cmcd, "sid=\"a,b\\\"c\\\\\",su");
-    EXPECT_EQ(d.keys.text("sid"), "a,b\"c\\");
-    EXPECT_TRUE(d.keys.flag("su"));
-}
-TEST(Cmcd, LimitsOfLengthAndNumber) {
+    EXPECT_EQ(decoded.keys.values.size(), 1u);
+    EXPECT_EQ(decoded.keys.text("sid"), "ok");
+    EXPECT_EQ(decoded.dropped.size(), 12u);
+    for (const DroppedKey& dropped : decoded.dropped) EXPECT_FALSE(dropped.reason.empty()) << dropped.key;
+}
+TEST(Cmcd, UnclosedQuoteDropsFollowingKeysOnly) {
+    const DecodedKeys decoded = decode_keys(Vocabulary::cmcd, "br=100,sid=\"abc,su,tb=9");
+    EXPECT_EQ(decoded.keys.integer("br"), 100);
+    EXPECT_EQ(decoded.keys.values.size(), 1u);
+    EXPECT_EQ(decoded.dropped.size(), 1u);
+}
+TEST(Cmcd, CommasAndEscapesInStringsAreDecoded) {
+    const DecodedKeys decoded = decode_keys(Vocabulary::cmcd, "sid=\"a,b\\\"c\\\\\",su");
+    EXPECT_EQ(decoded.keys.text("sid"), "a,b\"c\\");
+    EXPECT_TRUE(decoded.keys.flag("su"));
+}
+TEST(Cmcd, PayloadsBeyondTheLimitsAreDropped) {
     EXPECT_EQ(decode_keys(Vocabulary::cmcd, "sid=\"" + std::string(65, 'a') + "\"").keys.values.size(), 0u);
     EXPECT_EQ(decode_keys(Vocabulary::cmcd, "sid=\"" + std::string(64, 'a') + "\"").keys.values.size(), 1u);
     EXPECT_EQ(decode_keys(Vocabulary::cmcd, std::string(100000, ',')).dropped.size(), 1u);
     std::string many;
     for (int k = 0; k < 500; ++k) many += (k ? ",a-" : "a-") + std::to_string(k);
-    const DecodedKeys d = decode_keys(Vocabulary::cmcd, many);
-    EXPECT_EQ(d.keys.values.size(), kMaxKeys);
-    EXPECT_EQ(d.dropped.size(), 1u);
+    const DecodedKeys decoded = decode_keys(Vocabulary::cmcd, many);
+    EXPECT_EQ(decoded.keys.values.size(), kMaxKeys);
+    EXPECT_EQ(decoded.dropped.size(), 1u);
 }
-TEST(Cmcd, RoundingAndWhatIsLeftOut) {
+TEST(Cmcd, ValuesAreRoundedAndDefaultsOmitted) {
     EXPECT_EQ(encode("cmcd", R"({"keys":{"bl":21350,"dl":149,"mtp":25449,"rtp":151,"br":3240.6,"pr":1,"v":1,)"
                              R"("su":false,"com.x-y":"a\"b","ot":"av"}})"),
               "bl=21400,br=3241,com.x-y=\"a\\\"b\",dl=100,mtp=25400,ot=av,rtp=200\n");
     EXPECT_EQ(encode("cmcd", R"({"keys":{"v":2,"pr":1.0876}})"), "pr=1.088,v=2\n");
 }
-TEST(Cmcd, WhatCantBeSentIsLeftOutAndSaid) {
+TEST(Cmcd, InvalidKeysAreOmittedAndReported) {
     const std::string out = encode("cmcd", R"({"keys":{"ot":"zz","br":1,"sid":5,"nokey":1}})"
                                            "\nnonsense\n");
     EXPECT_EQ(out.substr(0, 6), "br=1\n\n");
     EXPECT_NE(out.find("line 1: \"ot\": wanted one of"), std::string::npos) << out;
     EXPECT_NE(out.find("line 2:"), std::string::npos);
 }
-TEST(Cmcd, ContradictionsBetweenHeadersAndQuery) {
-    CmcdSources s;
-    s.payload[static_cast<int>(Carrier::session)] = "sid=\"a\",st=v";
-    s.payload[static_cast<int>(Carrier::query)] = "sid=\"b\",st=v,br=1";
-    const DecodedKeys d = decode_cmcd(s);
-    EXPECT_FALSE(d.keys.has("sid"));
-    EXPECT_EQ(d.keys.text("st"), "v");
-    EXPECT_EQ(d.keys.integer("br"), 1);
-    ASSERT_EQ(d.dropped.size(), 1u);
-    EXPECT_EQ(d.dropped[0].key, "sid");
-}
-TEST(Cmcd, KeysGoIntoTheirHeaders) {
+TEST(Cmcd, ContradictoryKeysInHeadersAndQueryAreDropped) {
+    CmcdSources sources;
+    sources.payload[static_cast<int>(Carrier::session)] = "sid=\"a\",st=v";
+    sources.payload[static_cast<int>(Carrier::query)] = "sid=\"b\",st=v,br=1";
+    const DecodedKeys decoded = decode_cmcd(sources);
+    EXPECT_FALSE(decoded.keys.has("sid"));
+    EXPECT_EQ(decoded.keys.text("st"), "v");
+    EXPECT_EQ(decoded.keys.integer("br"), 1);
+    ASSERT_EQ(decoded.dropped.size(), 1u);
+    EXPECT_EQ(decoded.dropped[0].key, "sid");
+}
+TEST(Cmcd, KeysAreEncodedIntoTheirHeaders) {
     const auto headers =
         encode_cmcd_headers(decode_keys(Vocabulary::cmcd, "br=3200,bs,sid=\"a\",su,x-y=1,mtp=100").keys);
     EXPECT_EQ(headers[static_cast<int>(Carrier::object)], "br=3200");
@@ -139,22 +139,22 @@
     EXPECT_EQ(headers[static_cast<int>(Carrier::session)], "sid=\"a\",x-y=1");
 }
 
-TEST(CmsdStatic, KeysOfTheSpecification) {
+TEST(CmsdStatic, KeysOfTheSpecificationAreDecoded) {
     EXPECT_EQ(decode("cmsd-static", "at=1638998400000,br=2000,d=5000,n=\"OriginA\",ot=v,sf=h,st=v,su"),
               "{\"dropped\":[],\"keys\":{\"at\":1638998400000,\"br\":2000,\"d\":5000,\"n\":\"OriginA\","
               "\"ot\":\"v\",\"sf\":\"h\",\"st\":\"v\",\"su\":true}}\n");
 }
-TEST(CmsdDynamic, EntriesOfEarlierHopsAreKept) {
+TEST(CmsdDynamic, EntriesOfEarlierHopsAreKeptUnchanged) {
     const std::string earlier = "\"CDNB-3ak1\";etp=96;rtt=8,\"odd\";zz;etp=x";
     const std::string all =
         append_cmsd_dynamic(earlier, {"ivyfield", decode_keys(Vocabulary::cmcd, "").keys});
     EXPECT_EQ(all, earlier + ", \"ivyfield\"");
-    const DecodedCmsdEntries d = decode_cmsd_dynamic(all);
-    ASSERT_EQ(d.entries.size(), 3u);
-    EXPECT_EQ(d.entries[0].keys.integer("etp"), 96);
-    EXPECT_TRUE(d.entries[1].keys.values.empty());
-    EXPECT_EQ(d.dropped.size(), 2u);
-    EXPECT_EQ(d.entries[2].name, "ivyfield");
+    const DecodedCmsdEntries decoded = decode_cmsd_dynamic(all);
+    ASSERT_EQ(decoded.entries.size(), 3u);
+    EXPECT_EQ(decoded.entries[0].keys.integer("etp"), 96);
+    EXPECT_TRUE(decoded.entries[1].keys.values.empty());
+    EXPECT_EQ(decoded.dropped.size(), 2u);
+    EXPECT_EQ(decoded.entries[2].name, "ivyfield");
     EXPECT_EQ(encode("cmsd-dynamic", R"({"entries":[{"name":"a b","keys":{"du":true,"mb":500,"rd":3}}]})"),
               "\"a b\";du;mb=500;rd=3\n");
     EXPECT_EQ(decode("cmsd-dynamic", "\"a b\";du;mb=500;rd=3, 5;mb=1"),
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -1,4 +1,5 @@
-// Framing: what is one message, and what is refused because two readers could disagree.
+// HTTP framing: where a message ends, and messages that are rejected because two parsers could disagree on
+// it.
 #include "http/parser.hpp"
 
 #include <gtest/gtest.h>
@@ -7,28 +8,29 @@
 
 namespace {
 
-struct Read {
+struct ParseResult {
     std::vector<Request> requests;
     ParseError error;
     bool failed = false, partial = false;
 };
-Read read(std::string_view bytes, std::size_t piece = std::string::npos, ParseLimits limits = {}) {
+ParseResult parse_all(std::string_view bytes, std::size_t piece_size = std::string::npos,
+                      ParseLimits limits = {}) {
     Parser parser(Parser::Kind::request, limits);
-    Read out;
-    while (!bytes.empty() && !out.failed) {
-        std::string_view now = bytes.substr(0, piece);
-        bytes.remove_prefix(now.size());
-        while (!now.empty()) {
-            const auto status = parser.feed(now);
-            if (status == Parser::Status::message) out.requests.push_back(parser.request());
+    ParseResult result;
+    while (!bytes.empty() && !result.failed) {
+        std::string_view piece = bytes.substr(0, piece_size);
+        bytes.remove_prefix(piece.size());
+        while (!piece.empty()) {
+            const auto status = parser.feed(piece);
+            if (status == Parser::Status::message) result.requests.push_back(parser.request());
             if (status == Parser::Status::error) {
-                out.failed = true, out.error = parser.error();
+                result.failed = true, result.error = parser.error();
                 break;
             }
         }
     }
-    out.partial = !out.failed && !parser.idle();
-    return out;
+    result.partial = !result.failed && !parser.idle();
+    return result;
 }
 
 const std::string kGet = "GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -37,22 +39,22 @@
     "5;ext=1\r\nhello\r\n6\r\n world\r\n0\r\nX-Trailer: 1\r\n\r\n";
 const std::string kLength = "POST /l HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello";
 
-TEST(Requests, PipelinedInPiecesOfAnySize) {
+TEST(Requests, PipelinedRequestsParseForEveryPieceSize) {
     const std::string all = kGet + kChunked + kLength + "\r\n" + kGet;
-    for (std::size_t piece = 1; piece < all.size() + 1; ++piece) {
-        const Read r = read(all, piece);
-        ASSERT_FALSE(r.failed) << piece << ": " << r.error.reason;
-        ASSERT_EQ(r.requests.size(), 4u) << piece;
-        EXPECT_EQ(r.requests[0].path(), "/a");
-        EXPECT_EQ(r.requests[0].query(), "b=c");
-        EXPECT_EQ(r.requests[1].body, "hello world");
-        EXPECT_EQ(r.requests[2].body, "hello");
-        EXPECT_EQ(r.requests[3].target, "/a?b=c");
-        EXPECT_FALSE(r.partial);
+    for (std::size_t piece_size = 1; piece_size < all.size() + 1; ++piece_size) {
+        const ParseResult result = parse_all(all, piece_size);
+        ASSERT_FALSE(result.failed) << piece_size << ": " << result.error.reason;
+        ASSERT_EQ(result.requests.size(), 4u) << piece_size;
+        EXPECT_EQ(result.requests[0].path(), "/a");
+        EXPECT_EQ(result.requests[0].query(), "b=c");
+        EXPECT_EQ(result.requests[1].body, "hello world");
+        EXPECT_EQ(result.requests[2].body, "hello");
+        EXPECT_EQ(result.requests[3].target, "/a?b=c");
+        EXPECT_FALSE(result.partial);
     }
 }
 
-struct Bad {
+struct InvalidMessage {
     const char* name;
     std::string bytes;
     int status;
@@ -60,17 +62,17 @@
 std::string post(const std::string& headers, const std::string& body = "") {
     return "POST / HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n" + body;
 }
-const Bad kBad[] = {
-    {"BothLengths", post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400},
-    {"BothLengthsOtherOrder", post("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "0\r\n\r\n"), 400},
+const InvalidMessage kInvalidMessages[] = {
+    {"LengthAndCoding", post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400},
+    {"CodingAndLength", post("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "0\r\n\r\n"), 400},
     {"TwoLengths", post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello"), 400},
-    {"TwoLengthsAlike", post("Content-Length: 5\r\nContent-Length: 5\r\n", "hello"), 400},
+    {"TwoEqualLengths", post("Content-Length: 5\r\nContent-Length: 5\r\n", "hello"), 400},
     {"ListOfLengths", post("Content-Length: 5, 5\r\n", "hello"), 400},
     {"SignedLength", post("Content-Length: +5\r\n", "hello"), 400},
     {"NegativeLength", post("Content-Length: -1\r\n"), 400},
     {"HugeLength", post("Content-Length: 99999999999999999999\r\n"), 400},
     {"TwoCodings", post("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 501},
-    {"CodingInDisguise", post("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"), 501},
+    {"UnknownCoding", post("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"), 501},
     {"GzipChunked", post("Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"), 501},
     {"BareLfLine", "GET / HTTP/1.1\nHost: x\r\n\r\n", 400},
     {"BareLfHeader", "GET / HTTP/1.1\r\nHost: x\nA: b\r\n\r\n", 400},
@@ -90,7 +92,7 @@
     {"ChunkBareLf", post("Transfer-Encoding: chunked\r\n", "5\nhello\r\n0\r\n\r\n"), 400},
     {"ChunkTooLong", post("Transfer-Encoding: chunked\r\n", "5\r\nhelloXX0\r\n\r\n"), 400},
     {"ChunkExtensionLfInside", post("Transfer-Encoding: chunked\r\n", "5;a\nb\r\nhello\r\n0\r\n\r\n"), 400},
-    {"ChunkExtensionEndless", post("Transfer-Encoding: chunked\r\n", "5;" + std::string(5000, 'a')), 400},
+    {"ChunkExtensionNeverEnds", post("Transfer-Encoding: chunked\r\n", "5;" + std::string(5000, 'a')), 400},
     {"LineTooLong", "GET /" + std::string(9000, 'a') + " HTTP/1.1\r\nHost: x\r\n\r\n", 414},
     {"LineNeverEnds", "GET /" + std::string(9000, 'a'), 414},
     {"HeaderTooLong", post("A: " + std::string(20000, 'a') + "\r\n"), 431},
@@ -105,20 +107,21 @@
     {"ChunkedBodyTooLong", post("Transfer-Encoding: chunked\r\n", "200000\r\n" + std::string(2 << 20, 'x')),
      413},
 };
-class Refused : public testing::TestWithParam<Bad> {};
-INSTANTIATE_TEST_SUITE_P(All, Refused, testing::ValuesIn(kBad),
+class RejectedMessages : public testing::TestWithParam<InvalidMessage> {};
+INSTANTIATE_TEST_SUITE_P(All, RejectedMessages, testing::ValuesIn(kInvalidMessages),
                          [](const auto& info) { return info.param.name; });
-TEST_P(Refused, HoweverItIsCut) {
-    for (const std::size_t piece : {std::string::npos, std::size_t(1), std::size_t(7), std::size_t(1000)}) {
-        const Read r = read(GetParam().bytes, piece);
-        EXPECT_TRUE(r.failed) << "in pieces of " << piece;
-        EXPECT_EQ(r.error.status, GetParam().status) << r.error.reason;
-        EXPECT_TRUE(r.requests.empty());
-        EXPECT_FALSE(r.error.reason.empty());
+TEST_P(RejectedMessages, RejectedForEveryPieceSize) {
+    for (const std::size_t piece_size :
+         {std::string::npos, std::size_t(1), std::size_t(7), std::size_t(1000)}) {
+        const ParseResult result = parse_all(GetParam().bytes, piece_size);
+        EXPECT_TRUE(result.failed) << "in pieces of " << piece_size;
+        EXPECT_EQ(result.error.status, GetParam().status) << result.error.reason;
+        EXPECT_TRUE(result.requests.empty());
+        EXPECT_FALSE(result.error.reason.empty());
     }
 }
 
-TEST(Responses, EndWithTheConnectionWhereNoLengthIsGiven) {
+TEST(Responses, BodyWithoutLengthEndsWithTheConnection) {
     Parser parser(Parser::Kind::response, {});
     std::string_view bytes = "HTTP/1.1 200 OK\r\n\r\nto the end";
     EXPECT_EQ(parser.feed(bytes), Parser::Status::need_more);
@@ -126,20 +129,20 @@
     EXPECT_EQ(parser.response().body, "to the end");
     EXPECT_FALSE(parser.keep_alive());
 }
-TEST(Responses, CutShortIsAnError) {
+TEST(Responses, TruncatedBodyIsAnError) {
     Parser parser(Parser::Kind::response, {});
     std::string_view bytes = "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort";
     EXPECT_EQ(parser.feed(bytes), Parser::Status::need_more);
     EXPECT_EQ(parser.finish(), Parser::Status::error);
 }
-TEST(Responses, ToHeadHaveNoBody) {
+TEST(Responses, ResponseToHeadHasNoBody) {
     Parser parser(Parser::Kind::response, {});
     parser.expect_no_body(true);
     std::string_view bytes = "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n";
     EXPECT_EQ(parser.feed(bytes), Parser::Status::message);
 }
 
-TEST(Queries, DecodedArgumentByArgument) {
+TEST(Queries, EachArgumentIsDecodedSeparately) {
     EXPECT_EQ(query_argument("a=1&CMCD=bl%3D100%2Csid%3D%22x%22&z", "CMCD"), "bl=100,sid=\"x\"");
     EXPECT_EQ(query_argument("CMCD=%zz", "CMCD"), std::nullopt);
     EXPECT_EQ(query_argument("", "CMCD"), std::nullopt);
--- a/tests/io/io_test.cpp
+++ b/tests/io/io_test.cpp
@@ -1,4 +1,4 @@
-// The seam, the same tests on both loops: sockets and simulated time.
+// The loop interface: the same tests on sockets and on simulated time, then tests of each implementation.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -11,30 +11,30 @@
 
 namespace {
 
-// Runs a test body's events until `done` or a while has passed.
-struct Rig {
-    virtual ~Rig() = default;
+// Runs the loop until `done` returns true or, on sockets, 5 s have passed.
+struct LoopRunner {
+    virtual ~LoopRunner() = default;
     virtual Loop& loop() = 0;
     virtual void run(const std::function<bool()>& done) = 0;
 };
-struct EvRig : Rig {
+struct EvRunner : LoopRunner {
     EvLoop ev{1};
     Loop& loop() override { return ev; }
     void run(const std::function<bool()>& done) override {
         const Time until = ev.now() + 5000;
-        std::function<void()> look = [&] {
+        std::function<void()> check = [&] {
             if (done() || ev.now() > until) return ev.stop();
-            tick = ev.after(1, look);
+            timer = ev.after(1, check);
         };
-        tick = ev.after(0, look);
+        timer = ev.after(0, check);
         ev.run();
     }
-    Timer tick;
+    Timer timer;
 };
-struct VirtualRig : Rig {
+struct VirtualRunner : LoopRunner {
     World world{1};
     VirtualLoop& process = world.start("one");
-    VirtualRig() { world.network.random_piece_sizes = true, world.network.max_piece_size = 700; }
+    VirtualRunner() { world.network.random_piece_sizes = true, world.network.max_piece_size = 700; }
     Loop& loop() override { return process; }
     void run(const std::function<bool()>& done) override {
         while (!done() && world.step()) {
@@ -42,71 +42,71 @@
     }
 };
 
-class Seam : public testing::TestWithParam<bool> {
+class LoopTest : public testing::TestWithParam<bool> {
   protected:
     void SetUp() override {
-        if (GetParam()) rig = std::make_unique<EvRig>();
-        else rig = std::make_unique<VirtualRig>();
+        if (GetParam()) runner = std::make_unique<EvRunner>();
+        else runner = std::make_unique<VirtualRunner>();
     }
-    std::unique_ptr<Rig> rig;
+    std::unique_ptr<LoopRunner> runner;
 };
-INSTANTIATE_TEST_SUITE_P(Loops, Seam, testing::Values(false, true),
+INSTANTIATE_TEST_SUITE_P(Loops, LoopTest, testing::Values(false, true),
                          [](const auto& info) { return info.param ? "Sockets" : "Virtual"; });
 
-// Keeps all that a stream tells.
-struct Peer : StreamHandler {
+// Records all events of a stream.
+struct RecordingHandler : StreamHandler {
     std::unique_ptr<Stream> stream;
-    std::string got;
-    int opened = 0, ends = 0, drained = 0;
+    std::string received;
+    int opened = 0, ends = 0, flushed = 0;
     std::vector<StreamCloseReason> closed;
     bool echo = false;
     void on_open() override { opened += 1; }
     void on_data(std::string_view bytes) override {
-        got += bytes;
+        received += bytes;
         if (echo) stream->write(bytes);
     }
     void on_end() override {
         ends += 1;
         if (echo) stream->end();
     }
-    void on_flushed() override { drained += 1; }
-    void on_closed(StreamCloseReason why) override { closed.push_back(why); }
+    void on_flushed() override { flushed += 1; }
+    void on_closed(StreamCloseReason reason) override { closed.push_back(reason); }
 };
 
-TEST_P(Seam, TimersRunInOrderAndStop) {
-    Loop& loop = rig->loop();
+TEST_P(LoopTest, TimersRunInOrderAndStop) {
+    Loop& loop = runner->loop();
     std::string order;
-    const Time begin = loop.now();
+    const Time start = loop.now();
     Timer late = loop.after(20, [&] { order += "c"; });
     Timer soon = loop.after(5, [&] { order += "a"; });
-    Timer tie = loop.at(begin + 5, [&] { order += "b"; });
-    Timer never = loop.after(1, [&] { order += "x"; });
-    never.stop();
+    Timer same_time = loop.at(start + 5, [&] { order += "b"; });
+    Timer stopped = loop.after(1, [&] { order += "x"; });
+    stopped.stop();
     {
         Timer scoped = loop.after(1, [&] { order += "y"; });
     }
-    rig->run([&] { return order.size() >= 3; });
+    runner->run([&] { return order.size() >= 3; });
     EXPECT_EQ(order, "abc");
-    EXPECT_GE(loop.now(), begin + 20);
+    EXPECT_GE(loop.now(), start + 20);
 }
 
-TEST_P(Seam, PostedFromATaskRunsAfterIt) {
-    Loop& loop = rig->loop();
+TEST_P(LoopTest, TaskPostedByATaskRunsAfterIt) {
+    Loop& loop = runner->loop();
     std::string order;
     loop.post([&] {
         loop.post([&] { order += "b"; });
         order += "a";
     });
-    rig->run([&] { return order.size() == 2; });
+    runner->run([&] { return order.size() == 2; });
     EXPECT_EQ(order, "ab");
 }
 
-TEST_P(Seam, BytesCrossWholeAndEndsMeet) {
-    Loop& loop = rig->loop();
-    Peer server, client;
+TEST_P(LoopTest, AllBytesArriveAndBothEndsCloseCleanly) {
+    Loop& loop = runner->loop();
+    RecordingHandler server, client;
     server.echo = true;
-    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> s) {
-        server.stream = std::move(s);
+    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
+        server.stream = std::move(stream);
         server.stream->set_handler(&server);
     });
     client.stream = loop.dial(listener->address(), 1000, &client);
@@ -114,98 +114,98 @@
     for (int k = 0; k < 60000; ++k) sent += static_cast<char>('a' + k % 26);
     client.stream->write(sent);
     client.stream->end();
-    rig->run([&] { return !client.closed.empty() && !server.closed.empty(); });
-    EXPECT_EQ(server.got, sent);
-    EXPECT_EQ(client.got, sent);
+    runner->run([&] { return !client.closed.empty() && !server.closed.empty(); });
+    EXPECT_EQ(server.received, sent);
+    EXPECT_EQ(client.received, sent);
     EXPECT_EQ(client.ends, 1);
     EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::clean});
     EXPECT_EQ(server.closed, std::vector<StreamCloseReason>{StreamCloseReason::clean});
 }
 
-TEST_P(Seam, NobodyListens) {
-    Loop& loop = rig->loop();
+TEST_P(LoopTest, DialWithoutListenerIsRefused) {
+    Loop& loop = runner->loop();
     Address address;
     {
         address = loop.listen({"127.0.0.1", 0}, [](auto) {})->address();
     }
-    Peer client;
+    RecordingHandler client;
     client.stream = loop.dial(address, 1000, &client);
-    EXPECT_TRUE(client.closed.empty()) << "told within the call";
-    rig->run([&] { return !client.closed.empty(); });
+    EXPECT_TRUE(client.closed.empty()) << "reported within the call";
+    runner->run([&] { return !client.closed.empty(); });
     EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::refused});
     EXPECT_EQ(client.opened, 0);
 }
 
-TEST_P(Seam, DestroyedStreamIsAResetForThePeer) {
-    Loop& loop = rig->loop();
-    Peer server, client;
-    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> s) {
-        server.stream = std::move(s);
+TEST_P(LoopTest, DestroyedStreamResetsThePeer) {
+    Loop& loop = runner->loop();
+    RecordingHandler server, client;
+    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
+        server.stream = std::move(stream);
         server.stream->set_handler(&server);
     });
     client.stream = loop.dial(listener->address(), 1000, &client);
     client.stream->write("hello");
-    rig->run([&] { return server.got == "hello"; });
+    runner->run([&] { return server.received == "hello"; });
     client.stream.reset();
-    rig->run([&] { return !server.closed.empty(); });
+    runner->run([&] { return !server.closed.empty(); });
     EXPECT_EQ(server.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
     EXPECT_EQ(server.ends, 0);
 }
 
-TEST_P(Seam, AReaderThatPausesHoldsTheWriterBack) {
-    Loop& loop = rig->loop();
-    Peer server, client;
-    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> s) {
-        server.stream = std::move(s);
+TEST_P(LoopTest, PausedReaderAppliesBackPressure) {
+    Loop& loop = runner->loop();
+    RecordingHandler server, client;
+    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
+        server.stream = std::move(stream);
         server.stream->set_handler(&server);
         server.stream->pause();
     });
     client.stream = loop.dial(listener->address(), 1000, &client);
-    const std::string much(32 << 20, 'x');
-    client.stream->write(much);
-    bool waited = false;
-    const Timer timer = loop.after(200, [&] { waited = true; });
-    rig->run([&] { return waited; });
+    const std::string payload(32 << 20, 'x');
+    client.stream->write(payload);
+    bool time_passed = false;
+    const Timer timer = loop.after(200, [&] { time_passed = true; });
+    runner->run([&] { return time_passed; });
     EXPECT_GT(client.stream->pending(), 0u);
-    EXPECT_EQ(client.drained, 0);
-    EXPECT_TRUE(server.got.empty());
+    EXPECT_EQ(client.flushed, 0);
+    EXPECT_TRUE(server.received.empty());
     server.stream->resume();
-    rig->run([&] { return client.drained > 0 && server.got.size() == much.size(); });
-    EXPECT_EQ(server.got.size(), much.size());
+    runner->run([&] { return client.flushed > 0 && server.received.size() == payload.size(); });
+    EXPECT_EQ(server.received.size(), payload.size());
     EXPECT_EQ(client.stream->pending(), 0u);
 }
 
-TEST_P(Seam, HandlersMayDestroyTheirStream) {
-    struct Suicidal : Peer {
+TEST_P(LoopTest, HandlerMayDestroyItsStream) {
+    struct SelfDestroyingHandler : RecordingHandler {
         void on_data(std::string_view) override {
             stream.reset(), closed.push_back(StreamCloseReason::clean);
         }
     };
-    Loop& loop = rig->loop();
-    Suicidal server;
-    Peer client;
-    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> s) {
-        server.stream = std::move(s);
+    Loop& loop = runner->loop();
+    SelfDestroyingHandler server;
+    RecordingHandler client;
+    const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
+        server.stream = std::move(stream);
         server.stream->set_handler(&server);
     });
     client.stream = loop.dial(listener->address(), 1000, &client);
     client.stream->write("x");
-    rig->run([&] { return !client.closed.empty(); });
+    runner->run([&] { return !client.closed.empty(); });
     EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
 }
 
-TEST_P(Seam, APortInUseIsAnErrorThatNamesIt) {
-    Loop& loop = rig->loop();
+TEST_P(LoopTest, ErrorForAPortInUseNamesTheAddress) {
+    Loop& loop = runner->loop();
     const auto listener = loop.listen({"127.0.0.1", 0}, [](auto) {});
     try {
         const auto again = loop.listen(listener->address(), [](auto) {});
-        FAIL() << "listened twice";
+        FAIL() << "a second listener on the same address was accepted";
     } catch (const std::runtime_error& e) {
         EXPECT_NE(std::string(e.what()).find(listener->address().text()), std::string::npos) << e.what();
     }
 }
 
-TEST(Sockets, StreamsAreReadBeforeDatagramsThatCameWithThem) {
+TEST(Sockets, StreamsAreReadBeforeDatagramsOfTheSameTurn) {
     for (const bool datagram_first : {true, false}) {
         EvLoop loop(1);
         std::string order;
@@ -227,7 +227,7 @@
         const auto sender =
             loop.open_datagram_socket({"127.0.0.1", 0}, [](const Address&, std::string_view) {});
         dialled.stream = loop.dial(listener->address(), 1000, &dialled);
-        Timer say = loop.after(50, [&] {
+        Timer send = loop.after(50, [&] {
             const auto datagram = [&] { sender->send(receiver->address(), "list"); };
             if (datagram_first) datagram();
             accepted.stream->write("answer");
@@ -239,16 +239,16 @@
     }
 }
 
-TEST(Sockets, WhatWasDialledIsReadBeforeWhatWasAccepted) {
+TEST(Sockets, DialledStreamsAreReadBeforeAcceptedOnes) {
     for (const bool accepted_first : {true, false}) {
         EvLoop loop(1);
         std::string order;
         struct Reader : StreamHandler {
             std::string& order;
-            const char mark;
+            const char label;
             std::unique_ptr<Stream> stream;
-            Reader(std::string& o, char m) : order(o), mark(m) {}
-            void on_data(std::string_view) override { order += mark; }
+            Reader(std::string& o, char l) : order(o), label(l) {}
+            void on_data(std::string_view) override { order += label; }
             void on_end() override {}
             void on_closed(StreamCloseReason) override {}
         };
@@ -258,7 +258,7 @@
             accepted.stream->set_handler(&accepted);
         });
         dialled.stream = loop.dial(listener->address(), 1000, &dialled);
-        Timer say = loop.after(50, [&] {
+        Timer send = loop.after(50, [&] {
             if (accepted_first) dialled.stream->write("to the accepted one");
             accepted.stream->write("to the dialled one");
             if (!accepted_first) dialled.stream->write("to the accepted one");
@@ -269,9 +269,9 @@
     }
 }
 
-TEST(Sockets, ReadingAnotherStreamLeavesTheBytesOfACallbackAlone) {
+TEST(Sockets, ReadingAnotherStreamInACallbackKeepsItsBytes) {
     EvLoop loop(1);
-    std::list<Peer> accepted;
+    std::list<RecordingHandler> accepted;
     const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
         accepted.emplace_back();
         accepted.back().stream = std::move(stream);
@@ -280,10 +280,10 @@
     struct Reader : StreamHandler {
         std::unique_ptr<Stream> stream;
         Stream* other = nullptr;
-        std::string got;
+        std::string received;
         void on_data(std::string_view bytes) override {
             if (other) std::exchange(other, nullptr)->read_available();
-            got += bytes;
+            received += bytes;
         }
         void on_end() override {}
         void on_closed(StreamCloseReason) override {}
@@ -291,53 +291,53 @@
     Reader first, second;
     first.stream = loop.dial(listener->address(), 1000, &first);
     second.stream = loop.dial(listener->address(), 1000, &second);
-    Timer say = loop.after(50, [&] {
+    Timer send = loop.after(50, [&] {
         first.other = second.stream.get();
         second.other = first.stream.get();
-        for (Peer& peer : accepted) peer.stream->write(peer.stream->peer().text());
+        for (RecordingHandler& peer : accepted) peer.stream->write(peer.stream->peer().text());
     });
     Timer stop = loop.after(150, [&] { loop.stop(); });
     loop.run();
-    EXPECT_EQ(first.got, first.stream->local().text());
-    EXPECT_EQ(second.got, second.stream->local().text());
+    EXPECT_EQ(first.received, first.stream->local().text());
+    EXPECT_EQ(second.received, second.stream->local().text());
 }
 
-TEST(Virtual, SameSeedSameBytesAtTheSameTimes) {
-    const auto play = [](std::uint64_t seed) {
+TEST(Virtual, SameSeedDeliversTheSameBytesAtTheSameTimes) {
+    const auto run = [](std::uint64_t seed) {
         World world(seed);
         world.network.random_piece_sizes = true;
         world.network.reset_probability = 0.001;
         VirtualLoop& loop = world.start("a");
-        std::string story;
-        struct Teller : Peer {
-            std::string* story = nullptr;
+        std::string events;
+        struct ArrivalRecorder : RecordingHandler {
+            std::string* events = nullptr;
             Loop* loop = nullptr;
             void on_data(std::string_view bytes) override {
-                *story += std::to_string(loop->now()) + " " + std::to_string(bytes.size()) + "\n";
+                *events += std::to_string(loop->now()) + " " + std::to_string(bytes.size()) + "\n";
             }
         } server;
-        server.story = &story, server.loop = &loop;
-        const auto listener = loop.listen({"127.0.0.1", 80}, [&](std::unique_ptr<Stream> s) {
-            server.stream = std::move(s);
+        server.events = &events, server.loop = &loop;
+        const auto listener = loop.listen({"127.0.0.1", 80}, [&](std::unique_ptr<Stream> stream) {
+            server.stream = std::move(stream);
             server.stream->set_handler(&server);
         });
-        Peer client;
+        RecordingHandler client;
         client.stream = loop.dial({"127.0.0.1", 80}, 1000, &client);
         client.stream->write(std::string(100000, 'x'));
         world.run_until(10000);
-        return story;
+        return events;
     };
-    EXPECT_EQ(play(7), play(7));
-    EXPECT_NE(play(7), play(8));
+    EXPECT_EQ(run(7), run(7));
+    EXPECT_NE(run(7), run(8));
 }
 
-TEST(Virtual, AKilledProcessIsSilentAndItsPeersSeeAReset) {
+TEST(Virtual, KilledProcessRunsNothingAndItsPeersSeeAReset) {
     World world(3);
     VirtualLoop& one = world.start("one");
     VirtualLoop& two = world.start("two");
-    Peer server, client;
-    const auto listener = one.listen({"127.0.0.1", 80}, [&](std::unique_ptr<Stream> s) {
-        server.stream = std::move(s);
+    RecordingHandler server, client;
+    const auto listener = one.listen({"127.0.0.1", 80}, [&](std::unique_ptr<Stream> stream) {
+        server.stream = std::move(stream);
         server.stream->set_handler(&server);
     });
     client.stream = two.dial({"127.0.0.1", 80}, 1000, &client);
@@ -350,35 +350,35 @@
     EXPECT_FALSE(fired);
     EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
     EXPECT_TRUE(server.closed.empty());
-    Peer late;
+    RecordingHandler late;
     late.stream = two.dial({"127.0.0.1", 80}, 1000, &late);
     world.run_until(200);
     EXPECT_EQ(late.closed, std::vector<StreamCloseReason>{StreamCloseReason::refused});
 }
 
-TEST(Virtual, AProcessThatStandsStillFindsAllAtOnceAndMayStillCallOff) {
+TEST(Virtual, StalledProcessRunsAllDueTasksOnContinuationAndMayCancelThem) {
     World world(4);
     VirtualLoop& one = world.start("one");
-    std::string story;
-    Timer first = one.after(10, [&] { story += "a"; });
+    std::string events;
+    Timer first = one.after(10, [&] { events += "a"; });
     Timer second = one.after(20, [&] {
-        story += "b";
+        events += "b";
         first.stop();
     });
-    Timer third = one.after(30, [&] { story += "c"; });
+    Timer third = one.after(30, [&] { events += "c"; });
     Timer fourth = one.after(15, [&] {
-        story += "x";
+        events += "x";
         third.stop();
     });
     world.run_until(5);
     world.stall(one, true);
     world.run_until(100);
-    EXPECT_EQ(story, "");
+    EXPECT_EQ(events, "");
     world.stall(one, false);
-    EXPECT_EQ(story, "axb") << "called off by one that fell due with it";
+    EXPECT_EQ(events, "axb") << "cancelled by a task that became due during the same stall";
 }
 
-TEST(Addresses, ReadAndWrittenAlike) {
+TEST(Addresses, ParseAndTextRoundTrip) {
     for (const char* text : {"127.0.0.1:80", "[::1]:8080", "0.0.0.0:0"})
         EXPECT_EQ(Address::parse(text).text(), text);
     for (const char* text : {"", "127.0.0.1", ":80", "::1:80", "1.2.3.4:x", "1.2.3.4:70000", "[::1:80"})
