--- a/src/benchlink/codec.hpp
+++ b/src/benchlink/codec.hpp
@@ -1,4 +1,5 @@
-// The wire of the bench: frames to events, actions to frames. It only translates.
+// The protocol between the benchmark and the directors that it runs in this process: decodes frames into
+// events and encodes actions into frames. It makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +13,7 @@
 
 namespace ivyfield::benchlink {
 
+// Malformed or unexpected input.
 struct WireError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -20,7 +22,7 @@
 class Reader {
   public:
     explicit Reader(std::string_view bytes) : bytes_(bytes) {}
-    bool done() const { return at_ == bytes_.size(); }
+    bool is_at_end() const { return position_ == bytes_.size(); }
     std::uint8_t u8();
     std::uint16_t u16();
     std::uint32_t u32();
@@ -32,24 +34,25 @@
 
   private:
     std::string_view bytes_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
 };
 
-// As settings::parse, with its faults as faults of the wire.
+// Like settings::parse(), but throws WireError.
 Settings parse_settings(std::string_view text);
 
-// Hosts the directors of one process. One frame's content in, one reply with its length out.
-class Host {
+// Runs the directors of one process.
+class DirectorHost {
   public:
-    std::string reply(std::string_view batch);
+    // Processes the content of one frame; returns the reply with its length in front. Throws WireError.
+    std::string process_batch(std::string_view batch);
 
   private:
     struct Instance {
         Director director;
-        int classes, tenants;
+        int classes, tenants;  // numbers of them, to check requests
     };
-    void record(Reader& in, Time now, std::string& out);
-    Instance* find(int number);
+    void process_record(Reader& in, Time now, std::string& out);
+    Instance* find_instance(int instance_id);
     std::map<int, Instance> instances_;
     std::map<std::uint32_t, std::vector<ServerEntry>> lists_;
 };
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -75,7 +75,7 @@
 // A success lowers the error rate by less than an error raises it, and the rate counts double in the choice
 // of a server: a server that fails fast is idle and would otherwise attract all sessions.
 constexpr double kErrorRateDecay = 0.1, kErrorRateCost = 2;
-// Part of its bearable set-up rate that all directors together send a cold server; the rest is for chance.
+// Part of the set-up rate a cold server can take that all directors together send it; the rest is for chance.
 constexpr double kColdPaceShare = 0.5;
 // Where servers can be probed, the chosen one is probed before the grant unless its last report is younger
 // than kMaxReportAge. A session causes at most kMaxProbes probes, since each has a price. A server that does
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -9,35 +9,37 @@
 
 namespace {
 
-class Values {
+// The settings text as a map of keys to values. Lookups of an absent key give the fallback; a value of the
+// wrong form throws SettingsError.
+class SettingsText {
   public:
-    explicit Values(std::string_view text) {
+    explicit SettingsText(std::string_view text) {
         while (!text.empty()) {
             const std::size_t end = std::min(text.find('\n'), text.size());
             const std::string_view line = text.substr(0, end);
             text.remove_prefix(std::min(end + 1, text.size()));
             if (line.empty() || line == "\r") continue;
-            const std::size_t eq = line.find('=');
-            if (eq == std::string_view::npos)
+            const std::size_t equals_sign = line.find('=');
+            if (equals_sign == std::string_view::npos)
                 throw SettingsError("setting without '=': " + std::string(line));
-            values_[std::string(line.substr(0, eq))] = std::string(line.substr(eq + 1));
+            values_[std::string(line.substr(0, equals_sign))] = std::string(line.substr(equals_sign + 1));
         }
     }
     bool has(const std::string& key) const { return values_.count(key) != 0; }
-    std::string text(const std::string& key, const std::string& absent = "") const {
+    std::string text(const std::string& key, const std::string& fallback = "") const {
         const auto it = values_.find(key);
-        return it == values_.end() ? absent : it->second;
+        return it == values_.end() ? fallback : it->second;
     }
-    double number(const std::string& key, double absent) const {
-        return has(key) ? parse(key, values_.at(key)) : absent;
+    double number(const std::string& key, double fallback) const {
+        return has(key) ? parse_number(key, values_.at(key)) : fallback;
     }
-    int count(const std::string& key, int absent) const {
-        const double value = number(key, absent);
-        if (!(value >= 0 && value <= 1e6)) throw SettingsError("setting out of range: " + key);
+    int count(const std::string& key, int fallback) const {
+        const double value = number(key, fallback);
+        if (!(value >= 0 && value <= 1e6)) throw SettingsError("setting out of range (0 to 1000000): " + key);
         return static_cast<int>(value);
     }
-    bool flag(const std::string& key, bool absent) const {
-        const std::string value = text(key, absent ? "true" : "false");
+    bool flag(const std::string& key, bool fallback) const {
+        const std::string value = text(key, fallback ? "true" : "false");
         if (value != "true" && value != "false")
             throw SettingsError("setting is neither true nor false: " + key);
         return value == "true";
@@ -52,13 +54,13 @@
         return items;
     }
     std::vector<double> numbers(const std::string& key) const {
-        std::vector<double> out;
-        for (const std::string& item : list(key)) out.push_back(parse(key, item));
-        return out;
+        std::vector<double> values;
+        for (const std::string& item : list(key)) values.push_back(parse_number(key, item));
+        return values;
     }
 
   private:
-    static double parse(const std::string& key, const std::string& text) {
+    static double parse_number(const std::string& key, const std::string& text) {
         double value = 0;
         const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
         if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
@@ -68,20 +70,22 @@
     std::map<std::string, std::string> values_;
 };
 
-Idempotency repeat_of(const std::string& word) {
-    if (word == "pure") return Idempotency::idempotent;
-    if (word == "token") return Idempotency::keyed;
-    if (word == "side_effect") return Idempotency::non_idempotent;
-    throw SettingsError("unknown effect of a class: " + word);
+// What the platform calls the effect of a class.
+Idempotency parse_idempotency(const std::string& value) {
+    if (value == "pure") return Idempotency::idempotent;
+    if (value == "token") return Idempotency::keyed;
+    if (value == "side_effect") return Idempotency::non_idempotent;
+    throw SettingsError("unknown effect of a class: " + value);
 }
 
-RetryScope group_of(const std::string& word) {
-    if (word == "zone") return RetryScope::same_zone;
-    if (word == "cell") return RetryScope::same_cell;
+RetryScope parse_retry_scope(const std::string& value) {
+    if (value == "zone") return RetryScope::same_zone;
+    if (value == "cell") return RetryScope::same_cell;
     return RetryScope::anywhere;
 }
 
-ReportField field_of(const std::string& name) {
+// From the platform's names of telemetry fields; unknown ones become ReportField::other.
+ReportField parse_report_field(const std::string& name) {
     static const std::map<std::string, ReportField> names = {
         {"inflight", ReportField::streams}, {"queue", ReportField::queue},
         {"util", ReportField::link_capped}, {"latency_ms", ReportField::setup_ms},
@@ -92,84 +96,89 @@
 }
 
 template <typename T>
-T at_or(const std::vector<T>& list, std::size_t k, T absent) {
-    return k < list.size() ? list[k] : absent;
+T value_or(const std::vector<T>& list, std::size_t index, T fallback) {
+    return index < list.size() ? list[index] : fallback;
 }
 
 }  // namespace
 
 Settings parse(std::string_view text) {
-    const Values v(text);
-    Settings s;
-    s.directors = v.count("balancers", 1);
-    s.self_index = v.count("self_index", 0);
-    s.zone = v.count("az", 0);
-    s.list_on_request = v.text("discovery", "pushed") == "on_request";
-    s.can_probe = v.flag("limits.probes", false);
-    s.can_cancel = v.flag("limits.cancel", false);
-    s.use_weights = v.text("weight_source", "none") != "none";
-    s.max_attempts = v.count("limits.max_attempts", 1);
-    s.max_retry_after = v.flag("limits.retry_after", false) ? v.number("limits.max_retry_after_ms", 0) : 0;
-    s.connect_timeout = v.number("limits.connect_timeout_ms", 0);
-    s.answer_slack = v.number("safety.answer_slack_ms", 0);
-    s.drain_stop_within = v.number("safety.stop_sending_within_ms", 0);
-    s.max_list_poll_interval = v.number("safety.ask_within_ms", 0);
-    s.initial_warmth = v.number("safety.cold_from", 1);
-    s.warmup_time = v.number("safety.cold_ms", 0);
-    s.overload_multiple = v.number("safety.tip_multiple", 0);
-    s.overload_window = v.number("safety.tip_after_ms", 0);
-    if (v.has("safety.resend_ratio") && v.has("safety.resend_span_ms"))
-        s.retry_budget =
-            RetryBudgetSettings{v.number("safety.resend_ratio", 0), v.number("safety.free_resends", 0),
-                                v.number("safety.resend_span_ms", 0)};
-    const std::string f = "family_info.";
-    s.cells = v.count(f + "places", 0);
-    s.racks = v.count(f + "racks", 0);
-    s.max_streams_by_kind = v.numbers(f + "kind_slots");
-    s.fleet_kb = v.number(f + "fleet_kb", 0);
-    s.rack_kb = v.number(f + "rack_kb", 0);
-    s.link_kb = v.number(f + "weight_kb", 0);
-    s.full_utilization = v.number(f + "refuses_from", 0);
-    s.join_rate_factor = v.number(f + "shared_adds", 1);
-    s.rung_kb = v.numbers(f + "rung_kb");
-    s.rung_worth = v.numbers(f + "rung_worth");
-    if (s.rung_kb.size() != s.rung_worth.size())
+    const SettingsText values(text);
+    Settings settings;
+    settings.directors = values.count("balancers", 1);
+    settings.self_index = values.count("self_index", 0);
+    settings.zone = values.count("az", 0);
+    settings.list_on_request = values.text("discovery", "pushed") == "on_request";
+    settings.can_probe = values.flag("limits.probes", false);
+    settings.can_cancel = values.flag("limits.cancel", false);
+    settings.use_weights = values.text("weight_source", "none") != "none";
+    settings.max_attempts = values.count("limits.max_attempts", 1);
+    settings.max_retry_after =
+        values.flag("limits.retry_after", false) ? values.number("limits.max_retry_after_ms", 0) : 0;
+    settings.connect_timeout = values.number("limits.connect_timeout_ms", 0);
+    settings.answer_slack = values.number("safety.answer_slack_ms", 0);
+    settings.drain_stop_within = values.number("safety.stop_sending_within_ms", 0);
+    settings.max_list_poll_interval = values.number("safety.ask_within_ms", 0);
+    settings.initial_warmth = values.number("safety.cold_from", 1);
+    settings.warmup_time = values.number("safety.cold_ms", 0);
+    settings.overload_multiple = values.number("safety.tip_multiple", 0);
+    settings.overload_window = values.number("safety.tip_after_ms", 0);
+    if (values.has("safety.resend_ratio") && values.has("safety.resend_span_ms"))
+        settings.retry_budget = RetryBudgetSettings{values.number("safety.resend_ratio", 0),
+                                                    values.number("safety.free_resends", 0),
+                                                    values.number("safety.resend_span_ms", 0)};
+    const std::string family = "family_info.";
+    settings.cells = values.count(family + "places", 0);
+    settings.racks = values.count(family + "racks", 0);
+    settings.max_streams_by_kind = values.numbers(family + "kind_slots");
+    settings.fleet_kb = values.number(family + "fleet_kb", 0);
+    settings.rack_kb = values.number(family + "rack_kb", 0);
+    settings.link_kb = values.number(family + "weight_kb", 0);
+    settings.full_utilization = values.number(family + "refuses_from", 0);
+    settings.join_rate_factor = values.number(family + "shared_adds", 1);
+    settings.rung_kb = values.numbers(family + "rung_kb");
+    settings.rung_worth = values.numbers(family + "rung_worth");
+    if (settings.rung_kb.size() != settings.rung_worth.size())
         throw SettingsError("rung_kb and rung_worth differ in length");
-    s.shortfall_penalty = v.number(f + "stall", 0);
-    s.note_delay = v.number(f + "seen_after_ms", 0);
-    s.link_note_interval = v.number(f + "told_every_ms", 0);
-    s.switch_cost_s = v.number(f + "switch_cost_s", 0);
-    s.over_share_worth = v.number("over_share_worth", 1);
-    s.cross_zone_price = v.number("fees.cross_zone", 0);
-    s.probe_price = v.number("fees.probe", 0);
-    s.move_price = v.number("fees.moves", 0);
-    const auto floors = v.numbers(f + "class_floor"), tops = v.numbers(f + "top_by_class");
-    const auto parts = v.numbers(f + "rate_factor"), seats = v.numbers(f + "licence_cap");
-    const auto live = v.list(f + "class_live");
-    const int rungs = static_cast<int>(s.rung_kb.size());
-    for (int k = 0; k < v.count("classes.count", 0); ++k) {
-        const std::string p = "classes." + std::to_string(k) + ".";
-        ClassSettings c;
-        c.name = v.text(p + "name");
-        c.worth = v.number(p + "importance", 1);
-        c.startup_target = v.number(p + "objective_ms", 0);
-        c.patience = v.number(p + "give_up_ms", 0);
-        c.idempotency = repeat_of(v.text(p + "effect", "side_effect"));
-        c.retry_scope = group_of(v.text(p + "group", "all"));
-        c.retry_window = v.number(p + "window_ms", 0);
-        c.min_rung = static_cast<int>(at_or(floors, k, 0.0));
-        c.max_rung = std::min(rungs - 1, static_cast<int>(at_or(tops, k, double(rungs - 1))));
-        c.rate_factor = at_or(parts, k, 1.0);
-        c.seats = static_cast<int>(at_or(seats, k, 0.0));
-        c.live = at_or(live, k, std::string("false")) == "true";
-        s.classes.push_back(c);
+    settings.shortfall_penalty = values.number(family + "stall", 0);
+    settings.note_delay = values.number(family + "seen_after_ms", 0);
+    settings.link_note_interval = values.number(family + "told_every_ms", 0);
+    settings.switch_cost_s = values.number(family + "switch_cost_s", 0);
+    settings.over_share_worth = values.number("over_share_worth", 1);
+    settings.cross_zone_price = values.number("fees.cross_zone", 0);
+    settings.probe_price = values.number("fees.probe", 0);
+    settings.move_price = values.number("fees.moves", 0);
+    const auto min_rungs = values.numbers(family + "class_floor"),
+               max_rungs = values.numbers(family + "top_by_class");
+    const auto rate_factors = values.numbers(family + "rate_factor"),
+               seats = values.numbers(family + "licence_cap");
+    const auto live = values.list(family + "class_live");
+    const int rungs = static_cast<int>(settings.rung_kb.size());
+    for (int k = 0; k < values.count("classes.count", 0); ++k) {
+        const std::string prefix = "classes." + std::to_string(k) + ".";
+        ClassSettings cls;
+        cls.name = values.text(prefix + "name");
+        cls.worth = values.number(prefix + "importance", 1);
+        cls.startup_target = values.number(prefix + "objective_ms", 0);
+        cls.patience = values.number(prefix + "give_up_ms", 0);
+        cls.idempotency = parse_idempotency(values.text(prefix + "effect", "side_effect"));
+        cls.retry_scope = parse_retry_scope(values.text(prefix + "group", "all"));
+        cls.retry_window = values.number(prefix + "window_ms", 0);
+        cls.min_rung = static_cast<int>(value_or(min_rungs, k, 0.0));
+        cls.max_rung = std::min(rungs - 1, static_cast<int>(value_or(max_rungs, k, double(rungs - 1))));
+        cls.rate_factor = value_or(rate_factors, k, 1.0);
+        cls.seats = static_cast<int>(value_or(seats, k, 0.0));
+        cls.live = value_or(live, k, std::string("false")) == "true";
+        settings.classes.push_back(cls);
     }
-    for (int k = 0; k < v.count("orgs.count", 0); ++k) {
-        const std::string p = "orgs." + std::to_string(k) + ".";
-        s.tenants.push_back({v.text(p + "name"), v.number(p + "quota_rps", 0), v.number(p + "share", 0)});
+    for (int k = 0; k < values.count("orgs.count", 0); ++k) {
+        const std::string prefix = "orgs." + std::to_string(k) + ".";
+        settings.tenants.push_back({values.text(prefix + "name"), values.number(prefix + "quota_rps", 0),
+                                    values.number(prefix + "share", 0)});
     }
-    for (const std::string& name : v.list("telemetry.names")) s.report_fields.push_back(field_of(name));
-    return s;
+    for (const std::string& name : values.list("telemetry.names"))
+        settings.report_fields.push_back(parse_report_field(name));
+    return settings;
 }
 
 }  // namespace ivyfield::settings
