--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -81,9 +81,7 @@
     // Viewers close as a whole: one that sends no more waits for nothing more.
     void on_end() override { owner.closed_by_client(*this, CloseReason::client_end); }
     void on_flushed() override {}
-    void on_closed(io::StreamCloseReason) override {
-        owner.closed_by_client(*this, CloseReason::client_reset);
-    }
+    void on_closed(io::CloseStatus) override { owner.closed_by_client(*this, CloseReason::client_reset); }
 };
 
 struct RelayFront::Request : core::AnswerHandler {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -90,7 +90,7 @@
             const auto status = parser.feed(bytes);
             if (status == Parser::Status::need_more) return;
             if (status == Parser::Status::error)
-                return fail(CallOutcome::bad_response, io::StreamCloseReason::reset);
+                return fail(CallOutcome::bad_response, io::CloseStatus::reset);
             if (parser.response().status < 200) continue;  // an interim response
             const bool keep_alive = parser.keep_alive() && bytes.empty() && !peer_ended;
             complete(keep_alive);
@@ -100,15 +100,16 @@
         peer_ended = true;
         if (call && parser.finish() == Parser::Status::message && parser.response().status >= 200)
             return complete(false);
-        if (call) return fail(CallOutcome::connection_lost, io::StreamCloseReason::reset);
+        if (call) return fail(CallOutcome::connection_lost, io::CloseStatus::reset);
         close();
     }
-    void on_closed(io::StreamCloseReason reason) override {
-        if (call) return fail(connected ? CallOutcome::connection_lost : CallOutcome::not_connected, reason);
+    void on_closed(io::CloseStatus close_status) override {
+        if (call)
+            return fail(connected ? CallOutcome::connection_lost : CallOutcome::not_connected, close_status);
         close();
     }
     void complete(bool keep_alive);                                // ends the call with the response
-    void fail(CallOutcome outcome, io::StreamCloseReason reason);  // ends the call without a response
+    void fail(CallOutcome outcome, io::CloseStatus close_status);  // ends the call without a response
     void close();  // removes the connection from the pool; it is destroyed from the loop
 
     Client& client;
@@ -164,13 +165,13 @@
     }
     completed_call->finish(std::move(result));  // may destroy the client
 }
-void Client::PooledConnection::fail(CallOutcome outcome, io::StreamCloseReason reason) {
+void Client::PooledConnection::fail(CallOutcome outcome, io::CloseStatus close_status) {
     PendingCall* const failed_call = call;
     call = nullptr;
     close();
     CallResult result;
     result.outcome = outcome;
-    result.close_reason = reason;
+    result.close_status = close_status;
     failed_call->finish(std::move(result));
 }
 void Client::PooledConnection::close() {
@@ -220,18 +221,18 @@
             PooledConnection* const connection = pending->connection_;
             // Not sent yet: the peer has seen nothing of the request.
             const CallOutcome outcome = pending->sent_ ? CallOutcome::timed_out : CallOutcome::not_connected;
-            if (connection) return connection->fail(outcome, io::StreamCloseReason::unreachable);
+            if (connection) return connection->fail(outcome, io::CloseStatus::unreachable);
             CallResult result;
             result.outcome = outcome;
-            result.close_reason = io::StreamCloseReason::unreachable;
+            result.close_status = io::CloseStatus::unreachable;
             pending->finish(std::move(result));
         });
     pending->connect_timeout_ = loop_.after(pending->options_.connect_timeout, [pending] {
         if (pending->connection_)
-            return pending->connection_->fail(CallOutcome::not_connected, io::StreamCloseReason::unreachable);
+            return pending->connection_->fail(CallOutcome::not_connected, io::CloseStatus::unreachable);
         CallResult result;
         result.outcome = CallOutcome::not_connected;
-        result.close_reason = io::StreamCloseReason::no_resources;
+        result.close_status = io::CloseStatus::no_resources;
         pending->finish(std::move(result));
     });
     pool->waiting.push_back(pending);
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -37,7 +37,7 @@
     Response response;     // with CallOutcome::response; the body is empty if it was streamed
     io::Time elapsed = 0;  // from send() to the result
     // With not_connected and connection_lost.
-    io::StreamCloseReason close_reason = io::StreamCloseReason::clean;
+    io::CloseStatus close_status = io::CloseStatus::clean;
 };
 
 // Options of a call. Times are milliseconds.
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -331,7 +331,7 @@
     }
     if (!impl_->complete && !bytes.empty()) {
         if (impl_->chunked)
-            if (const char* error = impl_->chunk_validator.check(bytes, limits_)) return fail(400, error);
+            if (const char* reason = impl_->chunk_validator.check(bytes, limits_)) return fail(400, reason);
         const std::size_t n = execute(bytes);
         if (failed_) return Status::error;
         bytes.remove_prefix(n);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -124,7 +124,7 @@
         }
         if (!closed_) flush();
     }
-    void on_closed(io::StreamCloseReason) override { close_now(); }
+    void on_closed(io::CloseStatus) override { close_now(); }
 
   private:
     // Parses bytes after those left over from earlier, until too many requests are pending.
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -27,9 +27,8 @@
 
 // Counters since the server was created.
 struct ServerCounts {
-    std::uint64_t connections = 0, requests = 0;
-    std::uint64_t rejected = 0;   // requests answered with an error by the server itself
-    std::uint64_t timed_out = 0;  // connections closed because sending or receiving was too slow
+    std::uint64_t connections = 0, requests = 0, rejected = 0;  // rejected: answered 4xx by the server itself
+    std::uint64_t timed_out = 0;  // connections closed because the peer sent or received too slowly
 };
 
 class Connection;
--- a/src/io/ev/ev_loop.cpp
+++ b/src/io/ev/ev_loop.cpp
@@ -77,19 +77,19 @@
     return {"0.0.0.0", 0};
 }
 
-// The reason for a connection attempt that failed with this errno.
-StreamCloseReason close_reason_of(int error) {
+// The close status for a connection attempt that failed with this errno.
+CloseStatus close_status_of(int error) {
     switch (error) {
         case ECONNREFUSED:
-            return StreamCloseReason::refused;
+            return CloseStatus::refused;
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
         case ENOMEM:
         case EADDRNOTAVAIL:
-            return StreamCloseReason::no_resources;
+            return CloseStatus::no_resources;
         default:
-            return StreamCloseReason::unreachable;
+            return CloseStatus::unreachable;
     }
 }
 
@@ -201,7 +201,7 @@
         bool connected = true, paused = false, ending = false, end_sent = false, peer_ended = false;
         bool closed = false;           // the handler gets no more events
         bool failure_pending = false;  // found during a call of the owner; reported from the loop
-        StreamCloseReason failure_reason = StreamCloseReason::reset;
+        CloseStatus failure_status = CloseStatus::reset;
         Address peer, local;
         std::shared_ptr<State> self;  // keeps the state alive until the stream is destroyed
 
@@ -227,10 +227,10 @@
             if (events) ev_io_start(loop->ev, &io);
         }
         // Closes the socket and tells the handler.
-        void close(StreamCloseReason reason) {
+        void close_and_notify(CloseStatus close_status) {
             if (closed) return;
             release();
-            if (handler) handler->on_closed(reason);
+            if (handler) handler->on_closed(close_status);
         }
         // Sends as much as the socket takes; true if nothing is left in the buffer.
         bool flush() {
@@ -342,7 +342,7 @@
 
     static void on_connect_timeout(struct ev_loop*, ev_timer* w, int) {
         const auto state = static_cast<State*>(w->data)->self;
-        state->close(StreamCloseReason::unreachable);
+        state->close_and_notify(CloseStatus::unreachable);
     }
     static void on_io(struct ev_loop* loop, ev_io* w, int events) {
         const auto state = static_cast<State*>(w->data)->self;
@@ -351,7 +351,7 @@
             int error = 0;
             socklen_t size = sizeof error;
             ::getsockopt(s.fd, SOL_SOCKET, SO_ERROR, &error, &size);
-            if (error) return s.close(close_reason_of(error));
+            if (error) return s.close_and_notify(close_status_of(error));
             s.connected = true;
             ev_timer_stop(loop, &s.connect_timer);
             update_addresses(s);
@@ -362,13 +362,13 @@
         if (s.closed) return;
         if ((events & EV_WRITE) && s.sent < s.out.size()) {
             const bool done = s.flush();
-            if (s.failure_pending) return s.close(StreamCloseReason::reset);
+            if (s.failure_pending) return s.close_and_notify(CloseStatus::reset);
             if (done && s.handler) s.handler->on_flushed();
         }
         if (s.closed) return;
-        if (s.failure_pending) return s.close(StreamCloseReason::reset);
+        if (s.failure_pending) return s.close_and_notify(CloseStatus::reset);
         if (s.ending && s.sent == s.out.size() && !s.end_sent) s.flush();
-        if (s.peer_ended && s.end_sent) return s.close(StreamCloseReason::clean);
+        if (s.peer_ended && s.end_sent) return s.close_and_notify(CloseStatus::clean);
         s.update_events();
     }
     // Uses a shared buffer, unless it is in use: a callback may read another stream (read_available) while it
@@ -394,7 +394,7 @@
             s.peer_ended = true;
             if (s.handler) s.handler->on_end();
         } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-            s.close(StreamCloseReason::reset);
+            s.close_and_notify(CloseStatus::reset);
         }
     }
 
@@ -404,10 +404,10 @@
 // A stream whose connection attempt failed within dial(); the failure is reported from the loop.
 class FailedStream : public Stream {
   public:
-    FailedStream(Loop* loop, const Address& peer, StreamCloseReason reason, StreamHandler* handler)
+    FailedStream(Loop* loop, const Address& peer, CloseStatus close_status, StreamHandler* handler)
         : peer_(peer), handler_(handler) {
-        timer_ = loop->after(0, [this, reason] {
-            if (handler_) handler_->on_closed(reason);
+        timer_ = loop->after(0, [this, close_status] {
+            if (handler_) handler_->on_closed(close_status);
         });
     }
     void set_handler(StreamHandler* handler) override { handler_ = handler; }
@@ -581,14 +581,13 @@
 
 std::unique_ptr<Stream> EvLoop::dial(const Address& address, Time timeout, StreamHandler* handler) {
     const SocketAddress a = to_sockaddr(address);
-    if (a.size == 0)
-        return std::make_unique<FailedStream>(this, address, StreamCloseReason::unreachable, handler);
+    if (a.size == 0) return std::make_unique<FailedStream>(this, address, CloseStatus::unreachable, handler);
     const int fd = ::socket(a.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd < 0) return std::make_unique<FailedStream>(this, address, close_reason_of(errno), handler);
+    if (fd < 0) return std::make_unique<FailedStream>(this, address, close_status_of(errno), handler);
     if (::connect(fd, a.get(), a.size) != 0 && errno != EINPROGRESS) {
-        const StreamCloseReason reason = close_reason_of(errno);
+        const CloseStatus close_status = close_status_of(errno);
         ::close(fd);
-        return std::make_unique<FailedStream>(this, address, reason, handler);
+        return std::make_unique<FailedStream>(this, address, close_status, handler);
     }
     auto stream = std::make_unique<EvStream>(impl_.get(), fd, false, handler);
     stream->set_peer(address);
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -34,17 +34,17 @@
     return Address{std::string(host), static_cast<std::uint16_t>(value)};
 }
 
-const char* name(StreamCloseReason reason) {
-    switch (reason) {
-        case StreamCloseReason::refused:
+const char* name(CloseStatus close_status) {
+    switch (close_status) {
+        case CloseStatus::refused:
             return "refused";
-        case StreamCloseReason::unreachable:
+        case CloseStatus::unreachable:
             return "unreachable";
-        case StreamCloseReason::no_resources:
+        case CloseStatus::no_resources:
             return "no resources";
-        case StreamCloseReason::reset:
+        case CloseStatus::reset:
             return "reset";
-        case StreamCloseReason::clean:
+        case CloseStatus::clean:
             return "clean";
     }
     return "?";
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -36,15 +36,15 @@
     }
 };
 
-// Why a stream was closed. The values before `reset` prove that the peer received nothing on the stream.
-enum class StreamCloseReason {
+// How a stream ended. The values before `reset` prove that the peer received nothing on the stream.
+enum class CloseStatus {
     refused,       // no listener at that address
     unreachable,   // no route, or no answer before the connect timeout
     no_resources,  // this process can't open another socket
     reset,         // connection error, or the peer closed it while our bytes were still in flight
     clean          // both sides have ended their direction
 };
-const char* name(StreamCloseReason reason);
+const char* name(CloseStatus close_status);
 
 class Stream;
 
@@ -56,7 +56,7 @@
     virtual void on_data(std::string_view bytes) = 0;  // `bytes` are valid during the call only
     virtual void on_end() = 0;                         // the peer ended its direction; we may still write
     virtual void on_flushed() {}                       // everything written has left this process
-    virtual void on_closed(StreamCloseReason reason) = 0;
+    virtual void on_closed(CloseStatus close_status) = 0;
 };
 
 // One connection. Destroying it closes it at once: unsent bytes are lost, the peer sees a reset, and the
--- a/src/io/virtual/world.cpp
+++ b/src/io/virtual/world.cpp
@@ -23,11 +23,11 @@
 
     std::size_t unsent_bytes() const { return out.size() - sent; }
     // Closes the endpoint and tells its handler.
-    static void close(const std::shared_ptr<Endpoint>& endpoint, StreamCloseReason reason) {
-        World::run_in_process(*endpoint->loop, [endpoint, reason] {
+    static void close(const std::shared_ptr<Endpoint>& endpoint, CloseStatus close_status) {
+        World::run_in_process(*endpoint->loop, [endpoint, close_status] {
             if (endpoint->closed) return;
             endpoint->closed = true;
-            if (endpoint->handler) endpoint->handler->on_closed(reason);
+            if (endpoint->handler) endpoint->handler->on_closed(close_status);
         });
     }
 };
@@ -88,7 +88,7 @@
         const auto remote = e.remote.lock();
         if (!remote) return;
         world.schedule(world.now() + world.delay(),
-                       [remote] { Endpoint::close(remote, StreamCloseReason::reset); });
+                       [remote] { Endpoint::close(remote, CloseStatus::reset); });
     }
     // Sends as many pieces as the window takes.
     static void transmit(World& world, const std::shared_ptr<Endpoint>& endpoint) {
@@ -115,8 +115,8 @@
             world.schedule(
                 e.last_arrival, [&world, endpoint, remote, is_reset, piece = std::move(piece)]() mutable {
                     if (is_reset) {
-                        Endpoint::close(remote, StreamCloseReason::reset);
-                        Endpoint::close(endpoint, StreamCloseReason::reset);
+                        Endpoint::close(remote, CloseStatus::reset);
+                        Endpoint::close(endpoint, CloseStatus::reset);
                         return;
                     }
                     remote->unread.push_back(std::move(piece));
@@ -161,7 +161,7 @@
     // Closes the endpoint once both directions have ended.
     static void close_if_ended(World& world, const std::shared_ptr<Endpoint>& endpoint) {
         if (endpoint->peer_ended && endpoint->end_sent)
-            world.schedule(world.now(), [endpoint] { Endpoint::close(endpoint, StreamCloseReason::clean); });
+            world.schedule(world.now(), [endpoint] { Endpoint::close(endpoint, CloseStatus::clean); });
     }
 
   private:
@@ -372,14 +372,14 @@
     endpoints_.push_back(client);
     const Time deadline = world.now() + timeout;
     world.schedule(deadline, [client] {
-        if (!client->connected) Endpoint::close(client, StreamCloseReason::unreachable);
+        if (!client->connected) Endpoint::close(client, CloseStatus::unreachable);
     });
     const Time arrival = world.now() + world.delay();
     const auto try_connect = [&world, client, address](auto&& retry) -> void {
         const auto it = world.listeners_.find(address);
         if (it == world.listeners_.end()) {
             world.schedule(world.now() + world.delay(),
-                           [client] { Endpoint::close(client, StreamCloseReason::refused); });
+                           [client] { Endpoint::close(client, CloseStatus::refused); });
             return;
         }
         VirtualListener& listener = *it->second;
--- a/src/measure/main.cpp
+++ b/src/measure/main.cpp
@@ -351,7 +351,7 @@
             void on_open() override { open = true; }
             void on_data(std::string_view) override {}
             void on_end() override {}
-            void on_closed(io::StreamCloseReason) override { open = false; }
+            void on_closed(io::CloseStatus) override { open = false; }
         };
         std::vector<std::unique_ptr<Quiet>> all;
         for (int k = 0; k < kMany; ++k) {
--- a/src/nodes/link.cpp
+++ b/src/nodes/link.cpp
@@ -221,7 +221,7 @@
     node.stream = client_.send(node.address, std::move(request), std::move(options),
                                [this, at](const http::CallResult& r) {
                                    stream_lost(*at, r.outcome == http::CallOutcome::not_connected &&
-                                                        r.close_reason == io::StreamCloseReason::refused);
+                                                        r.close_status == io::CloseStatus::refused);
                                });
 }
 
@@ -429,8 +429,8 @@
             const std::shared_ptr<http::Call> self(std::move(at.release));
             loop_.post([self] {});
             const bool answered = r.outcome == http::CallOutcome::response && r.response.status == 200;
-            const bool nobody = r.outcome == http::CallOutcome::not_connected &&
-                                r.close_reason == io::StreamCloseReason::refused;
+            const bool nobody =
+                r.outcome == http::CallOutcome::not_connected && r.close_status == io::CloseStatus::refused;
             const auto named = std::move(at.releasing);
             at.releasing.clear();
             if (answered || nobody) {
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -58,8 +58,8 @@
     bool idle() const { return open.empty() && !testing && !ending; }
     void on_open() override { owner.opened(*this); }
     void on_data(std::string_view bytes) override { owner.heard(*this, bytes); }
-    void on_end() override { owner.closed(*this, true, io::StreamCloseReason::clean); }
-    void on_closed(io::StreamCloseReason why) override { owner.closed(*this, up, why); }
+    void on_end() override { owner.closed(*this, true, io::CloseStatus::clean); }
+    void on_closed(io::CloseStatus why) override { owner.closed(*this, up, why); }
 };
 
 struct RelayNodes::Node {
@@ -278,14 +278,12 @@
 }
 
 // A dial that did not come up, or a connection that broke.
-void RelayNodes::closed(Connection& c, bool came_up, io::StreamCloseReason why) {
+void RelayNodes::closed(Connection& c, bool came_up, io::CloseStatus why) {
     if (c.gone) return;
-    const bool refused = why == io::StreamCloseReason::refused,
-               no_room = why == io::StreamCloseReason::no_resources;
+    const bool refused = why == io::CloseStatus::refused, no_room = why == io::CloseStatus::no_resources;
     Node& node = c.node;
-    if (c.ending && why == io::StreamCloseReason::clean)
-        return drop(c);  // its node has sent all and ended it too
-    lose(c);             // owned by dead_ until this returns to the loop
+    if (c.ending && why == io::CloseStatus::clean) return drop(c);  // its node has sent all and ended it too
+    lose(c);  // owned by dead_ until this returns to the loop
     counts_.resets += came_up;
     // Our own want of descriptors tells nothing of the node.
     const bool lost =
@@ -553,7 +551,7 @@
         if (const auto* fault = std::get_if<relay::Fault>(&*result)) {
             counts_.spoilt += 1;
             if (on_remark) on_remark("node " + c.node.known.uid + ": " + fault->why);
-            return closed(c, true, io::StreamCloseReason::reset);
+            return closed(c, true, io::CloseStatus::reset);
         }
         take(c, std::get<NodeMessage>(*result));
     }
@@ -573,7 +571,7 @@
     const std::string* sdp = m.find(Code::sdp);
     if (!sdp || !relay::utf8(*sdp)) {
         counts_.spoilt += 1;
-        closed(c, true, io::StreamCloseReason::reset);
+        closed(c, true, io::CloseStatus::reset);
         return false;
     }
     Node& node = c.node;
--- a/src/nodes/relay/nodes.hpp
+++ b/src/nodes/relay/nodes.hpp
@@ -86,7 +86,7 @@
     void heard(Connection& c, std::string_view bytes);
     void take(Connection& c, const relay::NodeMessage& message);
     bool begins(Connection& c, const relay::NodeMessage& message);
-    void closed(Connection& c, bool came_up, io::StreamCloseReason why);
+    void closed(Connection& c, bool came_up, io::CloseStatus why);
     void drop(Connection& c);
     void retire(Connection& c);
     void lose(Connection& c);
--- a/tests/fronts/front_test.cpp
+++ b/tests/fronts/front_test.cpp
@@ -233,7 +233,7 @@
         std::string got;
         void on_data(std::string_view b) override { got += b; }
         void on_end() override {}
-        void on_closed(io::StreamCloseReason) override {}
+        void on_closed(io::CloseStatus) override {}
     } raw;
     raw.stream = rig.dial(kDirector, 1000, &raw);
     raw.stream->write("GET /v1/watch/t/prep/x/master.m3u8?CMCD=sid%3D%22h%22 HTTP/1.1\r\nHost: d\r\n\r\n");
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -19,7 +19,7 @@
     RawClient(io::Loop& loop, const io::Address& to) { stream = loop.dial(to, 1000, this); }
     void on_data(std::string_view bytes) override { received += bytes; }
     void on_end() override { ended = true; }
-    void on_closed(io::StreamCloseReason) override { closed = true; }
+    void on_closed(io::CloseStatus) override { closed = true; }
 };
 
 struct HttpTest : testing::Test {
@@ -248,7 +248,7 @@
         if (e->request().target == "/b") e->abort_connection();
     world.run_until(500);
     EXPECT_EQ(refused.outcome, CallOutcome::not_connected);
-    EXPECT_EQ(refused.close_reason, io::StreamCloseReason::refused);
+    EXPECT_EQ(refused.close_status, io::CloseStatus::refused);
     EXPECT_EQ(broken.outcome, CallOutcome::connection_lost);
     EXPECT_EQ(late.outcome, CallOutcome::timed_out);
     EXPECT_NEAR(late.elapsed, 300, 1);
--- a/tests/io/io_test.cpp
+++ b/tests/io/io_test.cpp
@@ -58,7 +58,7 @@
     std::unique_ptr<Stream> stream;
     std::string received;
     int opened = 0, ends = 0, flushed = 0;
-    std::vector<StreamCloseReason> closed;
+    std::vector<CloseStatus> closed;
     bool echo = false;
     void on_open() override { opened += 1; }
     void on_data(std::string_view bytes) override {
@@ -70,7 +70,7 @@
         if (echo) stream->end();
     }
     void on_flushed() override { flushed += 1; }
-    void on_closed(StreamCloseReason reason) override { closed.push_back(reason); }
+    void on_closed(CloseStatus close_status) override { closed.push_back(close_status); }
 };
 
 TEST_P(LoopTest, TimersRunInOrderAndStop) {
@@ -118,8 +118,8 @@
     EXPECT_EQ(server.received, sent);
     EXPECT_EQ(client.received, sent);
     EXPECT_EQ(client.ends, 1);
-    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::clean});
-    EXPECT_EQ(server.closed, std::vector<StreamCloseReason>{StreamCloseReason::clean});
+    EXPECT_EQ(client.closed, std::vector<CloseStatus>{CloseStatus::clean});
+    EXPECT_EQ(server.closed, std::vector<CloseStatus>{CloseStatus::clean});
 }
 
 TEST_P(LoopTest, DialWithoutListenerIsRefused) {
@@ -132,7 +132,7 @@
     client.stream = loop.dial(address, 1000, &client);
     EXPECT_TRUE(client.closed.empty()) << "reported within the call";
     runner->run([&] { return !client.closed.empty(); });
-    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::refused});
+    EXPECT_EQ(client.closed, std::vector<CloseStatus>{CloseStatus::refused});
     EXPECT_EQ(client.opened, 0);
 }
 
@@ -148,7 +148,7 @@
     runner->run([&] { return server.received == "hello"; });
     client.stream.reset();
     runner->run([&] { return !server.closed.empty(); });
-    EXPECT_EQ(server.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
+    EXPECT_EQ(server.closed, std::vector<CloseStatus>{CloseStatus::reset});
     EXPECT_EQ(server.ends, 0);
 }
 
@@ -177,9 +177,7 @@
 
 TEST_P(LoopTest, HandlerMayDestroyItsStream) {
     struct SelfDestroyingHandler : RecordingHandler {
-        void on_data(std::string_view) override {
-            stream.reset(), closed.push_back(StreamCloseReason::clean);
-        }
+        void on_data(std::string_view) override { stream.reset(), closed.push_back(CloseStatus::clean); }
     };
     Loop& loop = runner->loop();
     SelfDestroyingHandler server;
@@ -191,7 +189,7 @@
     client.stream = loop.dial(listener->address(), 1000, &client);
     client.stream->write("x");
     runner->run([&] { return !client.closed.empty(); });
-    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
+    EXPECT_EQ(client.closed, std::vector<CloseStatus>{CloseStatus::reset});
 }
 
 TEST_P(LoopTest, ErrorForAPortInUseNamesTheAddress) {
@@ -215,7 +213,7 @@
             explicit Reader(std::string& o) : order(o) {}
             void on_data(std::string_view) override { order += "s"; }
             void on_end() override {}
-            void on_closed(StreamCloseReason) override {}
+            void on_closed(CloseStatus) override {}
         };
         Reader accepted(order), dialled(order);
         const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
@@ -227,7 +225,7 @@
         const auto sender =
             loop.open_datagram_socket({"127.0.0.1", 0}, [](const Address&, std::string_view) {});
         dialled.stream = loop.dial(listener->address(), 1000, &dialled);
-        Timer send = loop.after(50, [&] {
+        Timer send_timer = loop.after(50, [&] {
             const auto datagram = [&] { sender->send(receiver->address(), "list"); };
             if (datagram_first) datagram();
             accepted.stream->write("answer");
@@ -250,7 +248,7 @@
             Reader(std::string& o, char l) : order(o), label(l) {}
             void on_data(std::string_view) override { order += label; }
             void on_end() override {}
-            void on_closed(StreamCloseReason) override {}
+            void on_closed(CloseStatus) override {}
         };
         Reader accepted(order, 'a'), dialled(order, 'd');
         const auto listener = loop.listen({"127.0.0.1", 0}, [&](std::unique_ptr<Stream> stream) {
@@ -258,7 +256,7 @@
             accepted.stream->set_handler(&accepted);
         });
         dialled.stream = loop.dial(listener->address(), 1000, &dialled);
-        Timer send = loop.after(50, [&] {
+        Timer send_timer = loop.after(50, [&] {
             if (accepted_first) dialled.stream->write("to the accepted one");
             accepted.stream->write("to the dialled one");
             if (!accepted_first) dialled.stream->write("to the accepted one");
@@ -286,12 +284,12 @@
             received += bytes;
         }
         void on_end() override {}
-        void on_closed(StreamCloseReason) override {}
+        void on_closed(CloseStatus) override {}
     };
     Reader first, second;
     first.stream = loop.dial(listener->address(), 1000, &first);
     second.stream = loop.dial(listener->address(), 1000, &second);
-    Timer send = loop.after(50, [&] {
+    Timer send_timer = loop.after(50, [&] {
         first.other = second.stream.get();
         second.other = first.stream.get();
         for (RecordingHandler& peer : accepted) peer.stream->write(peer.stream->peer().text());
@@ -303,7 +301,7 @@
 }
 
 TEST(Virtual, SameSeedDeliversTheSameBytesAtTheSameTimes) {
-    const auto run = [](std::uint64_t seed) {
+    const auto record_arrivals = [](std::uint64_t seed) {
         World world(seed);
         world.network.random_piece_sizes = true;
         world.network.reset_probability = 0.001;
@@ -327,8 +325,8 @@
         world.run_until(10000);
         return events;
     };
-    EXPECT_EQ(run(7), run(7));
-    EXPECT_NE(run(7), run(8));
+    EXPECT_EQ(record_arrivals(7), record_arrivals(7));
+    EXPECT_NE(record_arrivals(7), record_arrivals(8));
 }
 
 TEST(Virtual, KilledProcessRunsNothingAndItsPeersSeeAReset) {
@@ -348,12 +346,12 @@
     world.kill(one);
     world.run_until(100);
     EXPECT_FALSE(fired);
-    EXPECT_EQ(client.closed, std::vector<StreamCloseReason>{StreamCloseReason::reset});
+    EXPECT_EQ(client.closed, std::vector<CloseStatus>{CloseStatus::reset});
     EXPECT_TRUE(server.closed.empty());
     RecordingHandler late;
     late.stream = two.dial({"127.0.0.1", 80}, 1000, &late);
     world.run_until(200);
-    EXPECT_EQ(late.closed, std::vector<StreamCloseReason>{StreamCloseReason::refused});
+    EXPECT_EQ(late.closed, std::vector<CloseStatus>{CloseStatus::refused});
 }
 
 TEST(Virtual, StalledProcessRunsAllDueTasksOnContinuationAndMayCancelThem) {
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -39,7 +39,7 @@
             if (owner.at_end) owner.at_end(*this);
             stream->end();
         }
-        void on_closed(io::StreamCloseReason) override { open = false; }
+        void on_closed(io::CloseStatus) override { open = false; }
         void send(const NodeMessage& m) { stream->write(relay::write_frame(m)); }
         void send(Type type, std::uint64_t session, int cause = -1, std::map<int, std::string> with = {}) {
             NodeMessage m;
@@ -69,7 +69,7 @@
     }
     void on_data(std::string_view) override {}
     void on_end() override {}
-    void on_closed(io::StreamCloseReason) override {}
+    void on_closed(io::CloseStatus) override {}
     std::size_t open_links() const {
         std::size_t n = 0;
         for (const Link& link : links) n += link.open;
@@ -99,7 +99,7 @@
         }
     }
     void on_end() override { stream->end(); }
-    void on_closed(io::StreamCloseReason) override { open = false; }
+    void on_closed(io::CloseStatus) override { open = false; }
     void say(const std::string& line) { stream->write(line + "\n"); }
     std::vector<ViewerMessage> of(Type type) const {
         std::vector<ViewerMessage> out;
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -76,7 +76,7 @@
             if (stream) stream->end();
             owner.closed(*this);
         }
-        void on_closed(io::StreamCloseReason) override { owner.closed(*this); }
+        void on_closed(io::CloseStatus) override { owner.closed(*this); }
     };
 
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
--- a/tests/soak/media_node.hpp
+++ b/tests/soak/media_node.hpp
@@ -82,7 +82,7 @@
             if (stream) stream->end();
             drop();
         }
-        void on_closed(io::StreamCloseReason) override { drop(); }
+        void on_closed(io::CloseStatus) override { drop(); }
         void drop() {
             if (!stream) return;
             stream->set_handler(nullptr);
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -146,7 +146,7 @@
         void on_open() override { done(true); }
         void on_data(std::string_view) override {}
         void on_end() override {}
-        void on_closed(io::StreamCloseReason) override { done(false); }
+        void on_closed(io::CloseStatus) override { done(false); }
     };
     void await_ready(Seat& seat) {
         auto probe = std::make_shared<Probe>();
