--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -130,11 +130,11 @@
     const bool established = session.record.answered && session.record.answer == Answer::established;
     if (!session.record.answered) deliver_answer(session, Answer::failed);
     session.attempt_timer.stop();
-    AttemptOver over;
+    AttemptEnded over;
     over.id = id;
     over.attempt = session.attempt;
     over.outcome = Outcome::cancelled;
-    over.session_over = true;
+    over.session_ended = true;
     if (session.attempt >= 0) {
         over.server = session.record.attempt_records.back().server;
         session.record.attempt_records.back().outcome = name(Outcome::cancelled);
@@ -151,8 +151,8 @@
 
 // ---- Requests ----
 
-// The key under which requests join one session. Fields are separated by a byte that a sid cannot contain, so
-// that different requests never share a key.
+// The key under which requests join one session. Fields are separated by a byte that a sid cannot contain,
+// so that different requests never share a key.
 std::string Engine::make_request_key(const ViewerRequest& request) const {
     if (request.preassigned_id) return std::to_string(*request.preassigned_id);
     return request.sid + '\n' + std::to_string(request.tenant) + '\n' + std::to_string(request.cls) + '\n' +
@@ -185,7 +185,7 @@
     session.record.deadline =
         std::min(request.preassigned_id ? request.deadline : loop_.now() + cls.patience, answer_deadline_);
     session.record.returning = request.returning;
-    session.rung = cls.floor;
+    session.rung = cls.min_rung;
     session.handlers.push_back(handler);
     if (const auto it = remembered_sids_.find(key);
         it != remembered_sids_.end() && it->second.expires_at > loop_.now()) {
@@ -204,8 +204,8 @@
     return id;
 }
 
-void Engine::set_answer_deadline(Time last) {
-    answer_deadline_ = std::min(answer_deadline_, last);
+void Engine::set_answer_deadline(Time deadline) {
+    answer_deadline_ = std::min(answer_deadline_, deadline);
     for (const auto& [id, session] : sessions_) {
         if (session->record.answered || session->record.deadline <= answer_deadline_) continue;
         session->deadline_timer = loop_.at(answer_deadline_, [this, id = id] { handle_deadline(id); });
@@ -243,7 +243,7 @@
     record_history(session, "abandoned: the last waiting request was withdrawn");
     deliver_answer(session, Answer::abandoned);
     if (session.state == State::queued) finish_session(id, "player");
-    else session.state = State::abandoned;
+    else session.state = State::detached;
     abandon_session(id);
 }
 
@@ -252,15 +252,15 @@
     // Nobody waits for the set-up any more, so it is cancelled where a cancel is final at the node.
     if (!nodes_.is_cancel_final()) return;
     const auto still = sessions_.find(id);
-    if (still == sessions_.end() || still->second->state != State::abandoned) return;
+    if (still == sessions_.end() || still->second->state != State::detached) return;
     Session& session = *still->second;
     nodes_.cancel(session.record.attempt_records.back().server, id, session.attempt);
     handle_attempt_end(session, Outcome::cancelled, {}, false);
 }
 
 // The viewer's deadline passed before the decision module answered. This does not happen on a director that
-// keeps up with its load; it is counted as a missed deadline and answered as a failure, so that no connection
-// hangs.
+// keeps up with its load; it is counted as a missed deadline and answered as a failure, so that no
+// connection hangs.
 void Engine::handle_deadline(SessionId id) {
     Session& session = *sessions_.at(id);
     if (session.record.answered) return;
@@ -268,7 +268,7 @@
     record_history(session, "deadline passed without an answer");
     deliver_answer(session, Answer::failed);
     if (session.state == State::queued) finish_session(id, "director");
-    else session.state = State::abandoned;
+    else session.state = State::detached;
     abandon_session(id);
 }
 
@@ -297,11 +297,11 @@
     }
     const auto handlers = std::move(session.handlers);
     session.handlers.clear();
-    const Placement where{session.record.id, session.attempt, session.record.server, session.rung,
-                          session.media};
+    const Placement placement{session.record.id, session.attempt, session.record.server, session.rung,
+                              session.media};
     const Time retry_after = session.record.retry_after;
     for (AnswerHandler* handler : handlers) {
-        if (answer == Answer::established) handler->on_established(where);
+        if (answer == Answer::established) handler->on_established(placement);
         else if (answer == Answer::rejected) handler->on_rejected(retry_after);
         else if (answer == Answer::failed) handler->on_failed();
     }
@@ -376,7 +376,7 @@
     if (sessions_.count(*request.preassigned_id)) return false;
     counts_.reclaimed += 1;
     const ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(request.cls));
-    Session& session = insert_established_session(*request.preassigned_id, request, server, 0, cls.floor);
+    Session& session = insert_established_session(*request.preassigned_id, request, server, 0, cls.min_rung);
     SessionAdopted adopted;
     adopted.request = make_session_request(session);
     adopted.server = server;
@@ -422,8 +422,8 @@
     return true;
 }
 
-// The server list shows a start seconds late and misses a process that died and restarted between two polls;
-// the node itself reports it at once.
+// The server list shows a start seconds late and misses a process that died and restarted between two
+// polls; the node itself reports it at once.
 void Engine::on_node_incarnation(ServerId server, Time started) {
     const auto it = listed_servers_.find(server);
     if (it == listed_servers_.end() || it->second.state == ServerState::gone ||
@@ -444,7 +444,7 @@
 void Engine::handle_attempt_started(Session& session, const Media& media) {
     const SessionId id = session.record.id;
     const int attempt = session.attempt;
-    if (session.state != State::pending && session.state != State::abandoned)
+    if (session.state != State::pending && session.state != State::detached)
         throw_violation(session, "attempt started, but no attempt is pending");
     record_history(session, "attempt started");
     session.attempt_timer.stop();
@@ -460,7 +460,7 @@
     }
     if (has_waiting_request) deliver_answer(session, Answer::established);
     const ServerId server = session.record.server;
-    dispatch_event(SessionStarted{id, attempt, server, waited});
+    dispatch_event(SessionEstablished{id, attempt, server, waited});
     // The viewer has left and, in a protocol where a cancel is final, nobody else would end the session.
     if (!has_waiting_request && nodes_.is_cancel_final()) nodes_.cancel(server, id, attempt);
 }
@@ -477,8 +477,8 @@
     contain_violations([&] { handle_attempt_end(*it->second, outcome, {}, !nodes_.is_cancel_final()); });
 }
 
-// Has the decision module count the attempt on, under an id of its own, before it learns that the attempt is
-// over for its session: in between, the attempt's place would count as free.
+// Has the decision module count the attempt on, under an id of its own, before it learns that the attempt
+// is over for its session: in between, the attempt's place would count as free.
 void Engine::track_unreleased_attempt(const Session& session) {
     const UnreleasedAttempt unreleased{++last_id_,
                                        session.record.attempt_records.back().server,
@@ -503,11 +503,11 @@
 void Engine::on_attempt_released(SessionId session, int attempt) {
     const auto it = unreleased_attempts_.find({session, attempt});
     if (it == unreleased_attempts_.end()) return;
-    AttemptOver event;
+    AttemptEnded event;
     event.id = it->second.id;
     event.server = it->second.server;
     event.outcome = Outcome::ended;
-    event.session_over = true;
+    event.session_ended = true;
     if (--seat_counts_[it->second.seat] == 0) seat_counts_.erase(it->second.seat);
     unreleased_attempts_.erase(it);
     dispatch_event(event);
@@ -519,16 +519,16 @@
     else adjust_seat_count(session, -1);
     const SessionId id = session.record.id;
     const State previous_state = session.state;
-    AttemptOver event;
+    AttemptEnded event;
     event.id = id;
     event.attempt = session.attempt;
     event.server = session.record.attempt_records.back().server;
     event.outcome = outcome;
-    event.waited = loop_.now() - session.sent_at;
-    event.session_over = session.record.answered;
+    event.elapsed = loop_.now() - session.sent_at;
+    event.session_ended = session.record.answered;
     event.report = report;
     session.record.attempt_records.back().outcome = name(outcome);
-    session.record.attempt_records.back().elapsed = event.waited;
+    session.record.attempt_records.back().elapsed = event.elapsed;
     session.attempt_timer.stop();
     session.attempt = -1;
     session.may_have_run = session.may_have_run || !proves_never_ran(outcome);
@@ -536,9 +536,9 @@
     if (previous_state == State::established) {
         established_count_ -= 1;
         counts_.reset += outcome == Outcome::reset;
-        const bool by_client =
+        const bool ended_by_client =
             outcome == Outcome::cancelled && !session.terminated_by_viewer && !session.moving;
-        if (by_client && !session.record.reclaimed && session.record.answer == Answer::established &&
+        if (ended_by_client && !session.record.reclaimed && session.record.answer == Answer::established &&
             decide::can_have_crossed(loop_.now() - session.record.answered_at)) {
             session.record.end_crossed_answer = true;
             counts_.ends_crossing_answers += 1;
@@ -561,12 +561,13 @@
 }
 
 void Engine::on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) {
-    dispatch_event(ProbeAnswered{server, outcome, waited, report});
+    dispatch_event(ProbeCompleted{server, outcome, waited, report});
 }
 
 // ---- Decision module ----
 
-// Events that arrive while another is being handled are queued, because the decision module is not reentrant.
+// Events that arrive while another is being handled are queued, because the decision module is
+// not reentrant.
 void Engine::dispatch_event(Event event) {
     pending_events_.push_back(std::move(event));
     if (dispatching_) return;
@@ -585,12 +586,12 @@
     }
 }
 
-void Engine::execute(const Send& action) {
+void Engine::execute(const SendSetup& action) {
     Session& session = require_session(action.id, "Send");
     if (session.record.answered) throw_violation(session, "sent after the request was answered");
     if (session.attempt >= 0) throw_violation(session, "sent while an attempt is pending");
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
-    if (session.may_have_run && cls.repeat == Repeat::paid)
+    if (session.may_have_run && cls.idempotency == Idempotency::non_idempotent)
         throw_violation(session, "paid set-up sent again, but an earlier attempt may have run");
     const Time expires =
         action.expires > 0 ? std::min(action.expires, session.record.deadline) : session.record.deadline;
@@ -616,17 +617,17 @@
         on_attempt_lost(id, attempt, Outcome::timed_out);
     });
     nodes_.set_up({id, attempt, action.server, session.rung, expires, session.record.request,
-                   cls.repeat == Repeat::paid});
+                   cls.idempotency == Idempotency::non_idempotent});
 }
 
-void Engine::execute(const Refuse& action) {
+void Engine::execute(const Reject& action) {
     const auto it = sessions_.find(action.id);
     if (it == sessions_.end()) return;  // abandoned just now; its event was still queued
     Session& session = *it->second;
     if (session.record.answered) return;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
     if (session.attempt >= 0) throw_violation(session, "rejected while an attempt is pending");
-    if (session.may_have_run && cls.repeat == Repeat::paid)
+    if (session.may_have_run && cls.idempotency == Idempotency::non_idempotent)
         throw_violation(session, "paid set-up rejected, but an earlier attempt may have run");
     session.record.retry_after = action.retry_after;
     deliver_answer(session, Answer::rejected);
@@ -639,7 +640,7 @@
     Session& session = *it->second;
     deliver_answer(session, Answer::failed);
     if (session.attempt < 0) finish_session(action.id, "director");
-    else session.state = State::abandoned;
+    else session.state = State::detached;
 }
 
 void Engine::execute(const Cancel& action) {
@@ -648,9 +649,9 @@
         throw_violation(session, "cancel names an attempt that was never made");
     if (action.attempt != session.attempt) return;
     record_history(session, "attempt cancelled");
-    // Posted to the loop rather than called from here, and before the port can report the attempt as
-    // released.
-    if (session.state == State::pending || session.state == State::abandoned)
+    // Posted to the loop rather than called from here, and before the port can report the attempt
+    // as released.
+    if (session.state == State::pending || session.state == State::detached)
         loop_.post([this, id = action.id, attempt = action.attempt] {
             on_attempt_lost(id, attempt, Outcome::cancelled);
         });
@@ -662,7 +663,7 @@
     if (it == sessions_.end()) return;
     Session& session = *it->second;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
-    if (action.rung < cls.floor || action.rung >= static_cast<int>(settings_.rung_kb.size()))
+    if (action.rung < cls.min_rung || action.rung >= static_cast<int>(settings_.rung_kb.size()))
         throw_violation(session, "rung " + std::to_string(action.rung) +
                                      " is below the class's floor or not on the ladder");
     session.rung = action.rung;
@@ -684,19 +685,20 @@
 }
 
 void Engine::execute(const Probe& action) { nodes_.probe(action.server); }
-void Engine::execute(const SetAlarm& action) {
+
+void Engine::execute(const SetTimer& action) {
     const std::uint64_t id = ++last_alarm_id_;
-    alarms_[id] = loop_.at(action.at, [this, id, mark = action.mark] {
+    alarms_[id] = loop_.at(action.at, [this, id, mark = action.timer_id] {
         alarms_.erase(id);
-        dispatch_event(AlarmDue{mark});
+        dispatch_event(TimerExpired{mark});
     });
 }
 
-void Engine::execute(const FollowList& action) {
-    if (server_list_) server_list_->follow(action.on);
+void Engine::execute(const SubscribeServerList& action) {
+    if (server_list_) server_list_->follow(action.enabled);
 }
 
-void Engine::execute(const FetchList&) {
+void Engine::execute(const FetchServerList&) {
     if (server_list_) server_list_->fetch();
 }
 
