--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -370,8 +370,8 @@
     return session;
 }
 
-// As in the simulator, the session is handed over as attempt 0, at its class's floor until the node reports
-// its rung.
+// As in the simulator, the session is handed over as attempt 0, at its class's min_rung until the node
+// reports its rung.
 bool Engine::adopt_session(const ViewerRequest& request, ServerId server) {
     if (sessions_.count(*request.preassigned_id)) return false;
     counts_.reclaimed += 1;
@@ -453,14 +453,14 @@
     const bool has_waiting_request = session.state == State::pending;
     session.state = State::established;
     established_count_ += 1;
-    const Time waited = loop_.now() - session.sent_at;
+    const Time elapsed = loop_.now() - session.sent_at;
     if (session.rung_sent != session.rung) {
         session.rung_sent = session.rung;
         nodes_.set_rung(session.record.server, id, attempt, session.rung);
     }
     if (has_waiting_request) deliver_answer(session, Answer::established);
     const ServerId server = session.record.server;
-    dispatch_event(SessionEstablished{id, attempt, server, waited});
+    dispatch_event(SessionEstablished{id, attempt, server, elapsed});
     // The viewer has left and, in a protocol where a cancel is final, nobody else would end the session.
     if (!has_waiting_request && nodes_.is_cancel_final()) nodes_.cancel(server, id, attempt);
 }
@@ -560,8 +560,8 @@
     dispatch_event(SessionNote{session, attempt, server, kind, value});
 }
 
-void Engine::on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) {
-    dispatch_event(ProbeCompleted{server, outcome, waited, report});
+void Engine::on_probe_result(ServerId server, Outcome outcome, Time elapsed, const LoadReport& report) {
+    dispatch_event(ProbeCompleted{server, outcome, elapsed, report});
 }
 
 // ---- Decision module ----
@@ -592,7 +592,7 @@
     if (session.attempt >= 0) throw_violation(session, "sent while an attempt is pending");
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
     if (session.may_have_run && cls.idempotency == Idempotency::non_idempotent)
-        throw_violation(session, "paid set-up sent again, but an earlier attempt may have run");
+        throw_violation(session, "non-idempotent set-up sent again, but an earlier attempt may have run");
     const Time expires =
         action.expires > 0 ? std::min(action.expires, session.record.deadline) : session.record.deadline;
     session.attempt = session.record.attempts++;
@@ -628,7 +628,7 @@
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
     if (session.attempt >= 0) throw_violation(session, "rejected while an attempt is pending");
     if (session.may_have_run && cls.idempotency == Idempotency::non_idempotent)
-        throw_violation(session, "paid set-up rejected, but an earlier attempt may have run");
+        throw_violation(session, "non-idempotent set-up rejected, but an earlier attempt may have run");
     session.record.retry_after = action.retry_after;
     deliver_answer(session, Answer::rejected);
     finish_session(action.id, "director");
@@ -665,7 +665,7 @@
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(session.record.request.cls)];
     if (action.rung < cls.min_rung || action.rung >= static_cast<int>(settings_.rung_kb.size()))
         throw_violation(session, "rung " + std::to_string(action.rung) +
-                                     " is below the class's floor or not on the ladder");
+                                     " is below the class's min_rung or not on the ladder");
     session.rung = action.rung;
     if (session.state != State::established || session.rung_sent == session.rung) return;
     session.rung_sent = session.rung;
@@ -687,10 +687,10 @@
 void Engine::execute(const Probe& action) { nodes_.probe(action.server); }
 
 void Engine::execute(const SetTimer& action) {
-    const std::uint64_t id = ++last_alarm_id_;
-    alarms_[id] = loop_.at(action.at, [this, id, mark = action.timer_id] {
-        alarms_.erase(id);
-        dispatch_event(TimerExpired{mark});
+    const std::uint64_t id = ++last_timer_;
+    timers_[id] = loop_.at(action.at, [this, id, timer_id = action.timer_id] {
+        timers_.erase(id);
+        dispatch_event(TimerExpired{timer_id});
     });
 }
 
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -14,9 +14,9 @@
 // port reports it released. So no seat, stream or link capacity is assigned twice on an assumption.
 //
 // A violated invariant (an action for a session that does not exist, a second attempt while one is pending,
-// a second answer, a paid set-up repeated without proof that it never ran) throws InvariantViolation with
-// the session's history. In production it fails that session alone, which is counted and reported with its
-// history; in a build with IVYFIELD_CHECKS it reaches the caller.
+// a second answer, a non-idempotent set-up repeated without proof that it never ran) throws
+// InvariantViolation with the session's history. In production it fails that session alone, which is
+// counted and reported with its history; in a build with IVYFIELD_CHECKS it reaches the caller.
 #pragma once
 
 #include <deque>
@@ -143,7 +143,7 @@
                          double value) override;
     bool reclaim_session(const OrphanedSession& orphan) override;
     void on_node_incarnation(ServerId server, Time started) override;
-    void on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) override;
+    void on_probe_result(ServerId server, Outcome outcome, Time elapsed, const LoadReport& report) override;
 
     const EngineCounts& counts() const { return counts_; }
     const Settings& settings() const { return settings_; }
@@ -222,8 +222,8 @@
     std::deque<std::pair<Time, std::string>> sid_expiry_queue_;
     std::deque<Event> pending_events_;
     bool dispatching_ = false;
-    std::map<std::uint64_t, io::Timer> alarms_;
-    std::uint64_t last_alarm_id_ = 0;
+    std::map<std::uint64_t, io::Timer> timers_;
+    std::uint64_t last_timer_ = 0;
 };
 
 }  // namespace ivyfield::core
--- a/src/core/outcomes.hpp
+++ b/src/core/outcomes.hpp
@@ -15,7 +15,8 @@
 
 namespace ivyfield::core {
 
-// Whether the outcome proves that the attempt never ran, so that even a paid set-up may be sent again.
+// Whether the outcome proves that the attempt never ran, so that even a non-idempotent set-up may be
+// sent again.
 constexpr bool proves_never_ran(Outcome outcome) {
     return outcome == Outcome::full || outcome == Outcome::not_connected || outcome == Outcome::not_sent;
 }
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -85,7 +85,7 @@
     int rung = 0;
     Time expires = 0;  // when the engine gives the attempt up, on the loop's clock
     ViewerRequest request;
-    bool paid = false;  // Repeat::paid: must not be sent again unless it provably never ran
+    bool non_idempotent = false;  // must not be sent again unless it provably never ran
 };
 
 // The media nodes. Every call that begins an operation is completed by one call of NodeEvents, never from
@@ -126,7 +126,8 @@
     virtual bool reclaim_session(const OrphanedSession& orphan) = 0;
     // The process that answers at the node, now or when one answers again, did not start before `started`.
     virtual void on_node_incarnation(ServerId server, Time started) = 0;
-    virtual void on_probe_result(ServerId server, Outcome outcome, Time waited, const LoadReport& report) = 0;
+    virtual void on_probe_result(ServerId server, Outcome outcome, Time elapsed,
+                                 const LoadReport& report) = 0;
 };
 
 // Controls the server list, for decision modules that request it; a pushed list needs neither call.
--- a/src/decide/reclaim.hpp
+++ b/src/decide/reclaim.hpp
@@ -23,7 +23,7 @@
     reclaim,
     unknown_class,
     unknown_tenant,
-    rung_not_allowed,  // below the class's floor, or not on the ladder
+    rung_not_allowed,  // below the class's min_rung, or not on the ladder
     already_given_up,
     superseded,
     no_free_seat
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -124,7 +124,7 @@
                       std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
         send(std::move(r), keys);
     }
-    void failed() override {
+    void on_failed() override {
         send(http::text_response(504, "the session could not be set up"), dynamic_keys());
     }
 };
--- a/src/nodes/link.cpp
+++ b/src/nodes/link.cpp
@@ -462,11 +462,11 @@
     }
     const ServerId server = what.server;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(what.request.cls)];
-    json body = {{"protocol", kProtocol},   {"director", director_},
-                 {"session", what.session}, {"attempt", what.attempt},
-                 {"sid", what.request.sid}, {"class", cls.name},
-                 {"rung", what.rung},       {"title", what.request.title_name},
-                 {"paid", what.paid}};
+    json body = {{"protocol", kProtocol},      {"director", director_},
+                 {"session", what.session},    {"attempt", what.attempt},
+                 {"sid", what.request.sid},    {"class", cls.name},
+                 {"rung", what.rung},          {"title", what.request.title_name},
+                 {"paid", what.non_idempotent}};
     if (!settings_.tenants.empty())
         body["tenant"] = settings_.tenants[static_cast<std::size_t>(what.request.tenant)].name;
     http::Request request;
@@ -478,7 +478,7 @@
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;  // the core's expiry ends it
     // A connection that its other side is closing just now would leave a paid set-up in doubt.
-    options.new_connection = what.paid;
+    options.new_connection = what.non_idempotent;
     it->second->account.sent(key);
     set_ups_[key] = client_.send(
         it->second->address, std::move(request), std::move(options),
@@ -594,7 +594,7 @@
                          } else if (result.outcome == http::CallOutcome::connection_lost) {
                              outcome = Outcome::reset;
                          }
-                         events_->probed(server, outcome, result.elapsed, report);
+                         events_->on_probe_result(server, outcome, result.elapsed, report);
                      });
 }
 
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -37,7 +37,7 @@
     void on_failed() override { answers.push_back(Answer::failed); }
 };
 
-// A paid class (0) and a freely repeatable one (1) on a fleet of one kind of server.
+// A non-idempotent class (0) and an idempotent one (1) on a fleet of one kind of server.
 Settings make_settings() {
     Settings settings;
     settings.max_attempts = 4;
@@ -50,12 +50,15 @@
     settings.rung_kb = {100, 200, 400};
     settings.rung_worth = {0.3, 0.7, 1};
     settings.retry_budget = RetryBudgetSettings{0.3, 5, 10000};
-    ClassSettings paid;
-    paid.name = "paid", paid.worth = 3, paid.startup_target = 1500, paid.patience = 5000;
-    paid.idempotency = Idempotency::non_idempotent, paid.max_rung = 2, paid.rate_factor = 1;
-    ClassSettings free = paid;
-    free.name = "free", free.idempotency = Idempotency::idempotent, free.worth = 1, free.startup_target = 800;
-    settings.classes = {paid, free};
+    ClassSettings non_idempotent;
+    non_idempotent.name = "paid", non_idempotent.worth = 3, non_idempotent.startup_target = 1500,
+    non_idempotent.patience = 5000;
+    non_idempotent.idempotency = Idempotency::non_idempotent, non_idempotent.max_rung = 2,
+    non_idempotent.rate_factor = 1;
+    ClassSettings idempotent = non_idempotent;
+    idempotent.name = "free", idempotent.idempotency = Idempotency::idempotent, idempotent.worth = 1,
+    idempotent.startup_target = 800;
+    settings.classes = {non_idempotent, idempotent};
     settings.tenants = {{"t", 0, 1}};
     return settings;
 }
@@ -90,7 +93,7 @@
     FakeAnswerHandler handler;
     const SessionId id = engine->open_session(make_request("a", 0), &handler);
     ASSERT_EQ(nodes.setups.size(), 1u);
-    EXPECT_TRUE(nodes.setups[0].paid);
+    EXPECT_TRUE(nodes.setups[0].non_idempotent);
     engine->on_attempt_started(id, 0, {"http://n/m/", {}});
     ASSERT_EQ(handler.answers, std::vector<Answer>{Answer::established});
     EXPECT_EQ(handler.placement.media.url, "http://n/m/");
@@ -128,7 +131,7 @@
     EXPECT_EQ(nodes.setups.size(), 3u);
 }
 
-TEST_F(EngineTest, APaidSetUpIsRepeatedOnlyWithProofThatItNeverRan) {
+TEST_F(EngineTest, ANonIdempotentSetupIsRepeatedOnlyWithProofThatItNeverRan) {
     for (const Outcome outcome : {Outcome::error, Outcome::full, Outcome::not_connected, Outcome::reset,
                                   Outcome::cancelled, Outcome::not_sent}) {
         SCOPED_TRACE(name(outcome));
