--- a/src/decide/poll_schedule.hpp
+++ b/src/decide/poll_schedule.hpp
@@ -12,6 +12,7 @@
 class PollSchedule {
   public:
     explicit PollSchedule(Time now) : last_answer_(now) {}
+    // An answer of the server arrived.
     void record_answer(Time now) { last_answer_ = now; }
     // How long after the query of `now` the next one is sent, ms.
     Time next_interval(Time now) const;
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -215,7 +215,7 @@
         settings.classes[1].seats = 1;
     }
 };
-TEST_F(SeatTest, ATimedOutSetUpHoldsItsSeatUntilReleased) {
+TEST_F(SeatTest, ATimedOutSetupHoldsItsSeatUntilReleased) {
     FakeAnswerHandler first, second, third;
     const SessionId id = engine->open_session(make_request("a", 0), &first);
     world.run_until(5030);
--- a/tests/decide/admission_test.cpp
+++ b/tests/decide/admission_test.cpp
@@ -11,12 +11,12 @@
     EXPECT_EQ(select_eviction({{0, true, 7}, {0, true, 3}, {2, true, 0}}), 1u);
 }
 
-TEST(Admission, AConnectionWithAPendingSetUpIsNeverEvicted) {
+TEST(Admission, AConnectionWithAPendingSetupIsNeverEvicted) {
     EXPECT_FALSE(select_eviction({{1, true, 1}, {3, false, 2}}));
     EXPECT_FALSE(select_eviction({}));
 }
 
-TEST(Admission, SetUpsAreAdmittedUpToTheLimitAndNotWhileStopping) {
+TEST(Admission, SetupsAreAdmittedUpToTheLimitAndNotWhileStopping) {
     const AdmissionLimits limits{10, 2};
     EXPECT_TRUE(can_admit_setup(limits, 0, false));
     EXPECT_TRUE(can_admit_setup(limits, 1, false));
