--- a/src/hints/keys.cpp
+++ b/src/hints/keys.cpp
@@ -85,7 +85,7 @@
     return nullptr;
 }
 
-bool all_digits(std::string_view s) {
+bool is_all_digits(std::string_view s) {
     for (const char c : s)
         if (c < '0' || c > '9') return false;
     return !s.empty();
@@ -95,8 +95,8 @@
     const std::size_t dash = s.find('-');
     if (dash == std::string_view::npos) return false;
     const std::string_view from = s.substr(0, dash), to = s.substr(dash + 1);
-    if (from.empty()) return all_digits(to);
-    if (!all_digits(from) || (!to.empty() && !all_digits(to))) return false;
+    if (from.empty()) return is_all_digits(to);
+    if (!is_all_digits(from) || (!to.empty() && !is_all_digits(to))) return false;
     const auto number = [](std::string_view d) {
         while (d.size() > 1 && d.front() == '0') d.remove_prefix(1);
         return std::make_pair(d.size(), d);
--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -275,7 +275,7 @@
     return out;
 }
 
-// Why the text is no valid value.
+// Describes why the text is not a valid value.
 std::string describe_value_error(std::string_view text) {
     if (text.empty()) return "no value behind '='";
     if (text.front() == '"') {
@@ -295,7 +295,7 @@
     return {text.substr(0, equals), text.substr(equals + 1)};
 }
 
-// Limits raw text for reports.
+// Limits the length of raw text that is reported.
 std::string truncate(std::string_view text) {
     constexpr std::size_t max_length = 64;
     return std::string(text.substr(0, max_length));
--- a/src/hints/structured.hpp
+++ b/src/hints/structured.hpp
@@ -36,10 +36,12 @@
 using BareItem = std::variant<std::int64_t, Decimal, std::string, Token, Bytes, bool>;
 using Parameters = std::vector<std::pair<std::string, BareItem>>;  // unique keys, in order
 
+// A bare item with its parameters (RFC 8941, 3.3).
 struct Item {
     BareItem value = true;
     Parameters parameters;
 };
+// A list of items in parentheses (RFC 8941, 3.1.1).
 struct InnerList {
     std::vector<Item> items;
     Parameters parameters;
@@ -59,8 +61,10 @@
 std::string serialize(const List& list);
 std::string serialize(const Dictionary& dictionary);
 
-// Lenient parsers. `text` is the raw text of the member or parameter, truncated; either the value or `reason`
-// is set.
+// Lenient parsers. In their results, `text` is the truncated raw text of the member, item or parameter, and
+// either the value or `reason` is set.
+
+// A member of a dictionary.
 struct ParsedMember {
     std::string key, text;  // the key as far as it can be determined
     std::optional<Member> member;
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -72,8 +72,8 @@
     [[nodiscard]] std::unique_ptr<Call> send(const io::Address& to, Request request, CallOptions options,
                                              CallHandler on_done);
     std::size_t open_connections(const io::Address& to) const;
-    std::size_t open_connections() const;
-    void close_idle(const io::Address& to);
+    std::size_t open_connections() const;    // to all addresses
+    void close_idle(const io::Address& to);  // closes the idle connections to that address
 
     struct Pool;
     struct PooledConnection;
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -68,8 +68,8 @@
                     break;
                 case State::trailer_lf:
                     if (c != '\n') return "a trailer has a CR without LF";
-                    if (line_bytes_ == 0)
-                        return nullptr;  // end of the message; the rest belongs to the next one
+                    // End of the message; the rest belongs to the next one.
+                    if (line_bytes_ == 0) return nullptr;
                     line_bytes_ = 0;
                     state_ = State::trailer;
                     break;
@@ -102,8 +102,8 @@
     static Impl& of(http_parser* p) { return *static_cast<Impl*>(p->data); }
     static int on_field(http_parser* p, const char* at, std::size_t n) {
         Impl& impl = of(p);
-        if (impl.in_trailers)
-            return 0;  // trailer fields are parsed and discarded: nothing here depends on them
+        // Trailer fields are parsed and discarded: nothing here depends on them.
+        if (impl.in_trailers) return 0;
         if (impl.after_value) impl.headers().add("", "");
         impl.after_value = false;
         impl.headers().fields().back().first.append(at, n);
@@ -203,8 +203,8 @@
 Parser::~Parser() = default;
 
 void Parser::expect_no_body(bool on) { impl_->no_body = on; }
-bool Parser::idle() const { return impl_->phase == Impl::Phase::head && head_.empty(); }
-bool Parser::in_body() const { return impl_->phase == Impl::Phase::body; }
+bool Parser::is_idle() const { return impl_->phase == Impl::Phase::head && head_.empty(); }
+bool Parser::is_in_body() const { return impl_->phase == Impl::Phase::body; }
 bool Parser::expects_continue() const {
     return kind_ == Kind::request && minor_version_ >= 1 &&
            request_.headers.has_token("Expect", "100-continue");
@@ -343,7 +343,7 @@
 
 Parser::Status Parser::finish() {
     if (failed_) return Status::error;
-    if (idle() || (impl_->complete && head_.empty())) return Status::need_more;
+    if (is_idle() || (impl_->complete && head_.empty())) return Status::need_more;
     if (impl_->phase == Impl::Phase::head) return fail(400, "the connection ended inside a head");
     http_parser_execute(&impl_->parser, &Impl::settings(), nullptr, 0);
     if (!impl_->complete) return fail(400, "the connection ended inside a message");
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -59,8 +59,8 @@
     void set_head_sink(std::function<void()> sink) { head_sink_ = std::move(sink); }
 
     const ParseError& error() const { return error_; }
-    bool idle() const;     // between two messages, nothing of the next one read
-    bool in_body() const;  // the head is complete
+    bool is_idle() const;     // between two messages, nothing of the next one read
+    bool is_in_body() const;  // the head is complete
     bool keep_alive() const { return keep_alive_; }
     bool expects_continue() const;
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -76,7 +76,7 @@
             if (last_answered) break;
         }
         flushing_ = false;
-        if (last_answered || (queue_.empty() && (peer_ended_ || server_.draining_) && parser_.idle()))
+        if (last_answered || (queue_.empty() && (peer_ended_ || server_.draining_) && parser_.is_idle()))
             return close_after_responses();
         if (reading_paused_ && queue_.size() < server_.limits_.max_pipelined_requests &&
             stream_->pending() < server_.limits_.max_unsent_bytes) {
@@ -100,7 +100,7 @@
         else if (!reading_paused_) stream_->resume();
     }
     void drain() {
-        if (queue_.empty() && parser_.idle() && !closing_) close_after_responses();
+        if (queue_.empty() && parser_.is_idle() && !closing_) close_after_responses();
     }
     std::string_view date() { return server_.date(); }
 
@@ -111,7 +111,7 @@
     void on_end() override {
         peer_ended_ = true;
         if (closing_) return;
-        if (!parser_.idle() && unparsed_.empty())
+        if (!parser_.is_idle() && unparsed_.empty())
             return reject({400, "the connection ended inside a message"});
         if (queue_.empty()) close_after_responses();
     }
@@ -143,12 +143,12 @@
                 break;
             }
             if (bytes.empty()) break;
-            if (parser_.idle()) message_started_ = server_.loop_.now();
-            const bool had_head = parser_.in_body();
+            if (parser_.is_idle()) message_started_ = server_.loop_.now();
+            const bool had_head = parser_.is_in_body();
             const auto status = parser_.feed(bytes);
             if (status == Parser::Status::error) return reject(parser_.error());
             if (status == Parser::Status::need_more) {
-                if (!had_head && parser_.in_body() && parser_.expects_continue() && queue_.empty())
+                if (!had_head && parser_.is_in_body() && parser_.expects_continue() && queue_.empty())
                     stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
                 break;
             }
@@ -230,9 +230,9 @@
         if (end_sent_ && pending == 0) wait = limits.linger_timeout, timer_kind_ = TimerKind::linger;
         else if (pending > 0)
             wait = last_progress_ + limits.write_timeout - now, timer_kind_ = TimerKind::write_stalled;
-        else if (!closing_ && !parser_.idle() && !reading_paused_)
+        else if (!closing_ && !parser_.is_idle() && !reading_paused_)
             wait = message_started_ +
-                   (parser_.in_body() ? limits.head_timeout + limits.body_timeout : limits.head_timeout) -
+                   (parser_.is_in_body() ? limits.head_timeout + limits.body_timeout : limits.head_timeout) -
                    now,
             timer_kind_ = TimerKind::receiving;
         else if (queue_.empty()) wait = limits.idle_timeout, timer_kind_ = TimerKind::idle;
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -57,6 +57,7 @@
     bool is_disconnected() const { return connection_ == nullptr; }  // responses are then discarded
     // Called when the peer closes the connection before the whole response was written.
     void on_disconnect(std::function<void()> call) { on_disconnect_ = std::move(call); }
+    // Called when all bytes written so far were sent, while this exchange's response is the one being sent.
     void on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
 
   private:
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -29,7 +29,7 @@
             }
         }
     }
-    result.partial = !result.failed && !parser.idle();
+    result.partial = !result.failed && !parser.is_idle();
     return result;
 }
 
