--- a/src/hints/keys.cpp
+++ b/src/hints/keys.cpp
@@ -337,13 +337,14 @@
             continue;
         }
         DecodedKeys keys;
-        for (ParsedParameter& p : piece.parameters) {
+        for (ParsedParameter& parameter : piece.parameters) {
             if (keys.keys.values.size() >= kMaxKeys) {
-                out.dropped.push_back({p.key, "more than " + std::to_string(kMaxKeys) + " keys"});
+                out.dropped.push_back({parameter.key, "more than " + std::to_string(kMaxKeys) + " keys"});
                 break;
             }
-            if (p.value) add_key(Vocabulary::cmsd_dynamic, p.key, std::move(*p.value), keys);
-            else keys.dropped.push_back({p.key, p.reason});
+            if (parameter.value)
+                add_key(Vocabulary::cmsd_dynamic, parameter.key, std::move(*parameter.value), keys);
+            else keys.dropped.push_back({parameter.key, parameter.reason});
         }
         out.dropped.insert(out.dropped.end(), keys.dropped.begin(), keys.dropped.end());
         entry.keys = std::move(keys.keys);
--- a/src/hints/keys.hpp
+++ b/src/hints/keys.hpp
@@ -1,6 +1,5 @@
 // CMCD (CTA-5004) and CMSD (CTA-5006): the reserved keys with their types, decoded from payloads and encoded
-// to them. A malformed key is dropped alone and reported in `dropped`; it never invalidates the whole
-// payload.
+// to them. A malformed key is dropped alone and reported in `dropped`; it never invalidates the payload.
 //
 // Rounding follows CTA-5004: bl, dl, mtp and rtp are rounded to hundreds when encoding; decoded values are
 // left as they were sent. When encoding, `v` and `pr` are omitted if they are 1, flags if they are false.
@@ -20,8 +19,7 @@
 // The set of keys that a payload uses.
 enum class Vocabulary { cmcd, cmsd_static, cmsd_dynamic };
 
-// Where CMCD keys are transported: four headers, by how often their keys change (CTA-5004, 2.1), or the
-// query.
+// Where CMCD keys are sent: in four headers, by how often the keys change (CTA-5004, 2.1), or in the query.
 enum class Carrier { request, object, status, session, query };
 const char* header_name(Carrier carrier);  // "CMCD-Request"; the query argument's name is "CMCD"
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -105,7 +105,7 @@
     std::string_view date() { return server_.date(); }
 
     void on_data(std::string_view bytes) override {
-        if (closing_) return;  // after an error, input is read only so that the response gets through
+        if (closing_) return;  // after an error, input is discarded so that the response gets through
         read(bytes);
     }
     void on_end() override {
