--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -45,11 +45,11 @@
               discovery::ConsulSettings s;
               s.address = config.consul;
               s.service = config.service;
-              s.agent = "ivyfield/" + config.name;
+              s.user_agent = "ivyfield/" + config.name;
               s.kinds = config.kinds;
-              s.wait = config.list_wait_ms;
-              s.stale = config.list_stale;
-              s.longest_stale = config.longest_stale_ms;
+              s.max_wait = config.list_wait_ms;
+              s.allow_stale = config.list_stale;
+              s.max_staleness = config.longest_stale_ms;
               return s;
           }(),
           [this](const std::vector<discovery::Instance>& instances) { listed(instances); }) {
@@ -61,7 +61,7 @@
     nodes_.on_remark = [this](const std::string& text) {
         log_.write(log::Level::warning, loop_.wall_ms(), "nodes", {{"text", text}});
     };
-    front_.status = [this] { return status(); };
+    front_.render_status = [this] { return status(); };
     log_.write(log::Level::info, loop_.wall_ms(), "started",
                {{"listen", front_.address().text()}, {"list", config.consul.text()}});
 }
@@ -118,7 +118,7 @@
 void DirectorProcess::stopping() {
     const bool takes = loop_.now() < stop_listening_at_;
     if (!takes) front_.stop_listening();
-    const bool idle = engine_.owed() == 0 && front_.connections() == 0;
+    const bool idle = engine_.owed() == 0 && front_.connection_count() == 0;
     if ((takes || !idle) && loop_.now() < leave_at_) {
         stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
         return;
@@ -129,7 +129,7 @@
 
 std::string DirectorProcess::status() const {
     const core::Counts& c = engine_.counts();
-    const fronts::FrontCounts& f = front_.counts();
+    const fronts::HttpFrontCounts& f = front_.counts();
     const discovery::ConsulCounts& d = consul_.counts();
     const nodes::LinkCounts& n = nodes_.counts();
     json streams = json::object();
@@ -164,7 +164,7 @@
                   {"failures", d.failures},
                   {"too_old", d.too_old},
                   {"left_out", d.left_out},
-                  {"fault", consul_.last_fault()}}},
+                  {"fault", consul_.last_error()}}},
                 {"nodes",
                  {{"connections", nodes_.connections()},
                   {"streams", streams},
--- a/src/cli/director.hpp
+++ b/src/cli/director.hpp
@@ -34,7 +34,7 @@
     nodes::NodeLink nodes_;
     core::Engine engine_;
     fronts::HttpFront front_;
-    discovery::Consul consul_;
+    discovery::ConsulClient consul_;
     std::map<ServerId, std::string> names_;
     std::size_t listed_ = 0;
     std::function<void()> done_;  // set: shutting down
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -78,7 +78,7 @@
         try {
             director->reload(config::read_relay_config(config::read_file(path)));
         } catch (const std::exception& e) {
-            director->remark(log::Level::error, "not reloaded", {{"why", path + ": " + e.what()}});
+            director->log_event(log::Level::error, "not reloaded", {{"why", path + ": " + e.what()}});
         }
     });
     for (const int number : {SIGINT, SIGTERM})
--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -56,42 +56,45 @@
     know();
     engine_.on_end = [this](const core::SessionRecord& r) { ended(r); };
     engine_.on_remark = [this](const std::string& text) {
-        remark(log::Level::info, "module", {{"text", text}});
+        log_event(log::Level::info, "module", {{"text", text}});
     };
     engine_.on_slip = [this](const std::string& history) {
-        remark(log::Level::error, "broken invariant", {{"history", history}});
+        log_event(log::Level::error, "broken invariant", {{"history", history}});
+    };
+    engine_.on_gone = [this](SessionId id, bool owed, bool moved) {
+        front_.handle_session_end(id, owed, moved);
     };
-    engine_.on_gone = [this](SessionId id, bool owed, bool moved) { front_.gone(id, owed, moved); };
     nodes_.on_remark = [this](const std::string& text) {
-        remark(log::Level::warning, "nodes", {{"text", text}});
+        log_event(log::Level::warning, "nodes", {{"text", text}});
     };
-    front_.node_named = [this](const std::string& uid) -> std::optional<ServerId> {
+    front_.find_node = [this](const std::string& uid) -> std::optional<ServerId> {
         if (!members_.count(uid)) return std::nullopt;
         return server_of(uid);
     };
-    front_.adopt = [this](const core::Ask& ask, ServerId server) {
+    front_.adopt_session = [this](const core::Ask& ask, ServerId server) {
         if (!engine_.adopt(ask, server)) return false;
         nodes_.adopt(server, *ask.number, 0);
         return true;
     };
-    front_.on_bad = [this](const std::string& why, const relay::ViewerMessage& m) {
+    front_.on_invalid_set_up = [this](const std::string& why, const relay::ViewerMessage& m) {
         if (bad_told_ >= kMostBadTold) return;
         bad_told_ += 1;
-        remark(log::Level::warning, "bad set-up", {{"why", why}, {"fields", m.fields}});
+        log_event(log::Level::warning, "bad set-up", {{"why", why}, {"fields", m.fields}});
     };
-    front_.on_closed = [this](const fronts::ClosedConnection& closed) {
-        json line = {
-            {"connection", closed.number}, {"reason", fronts::name(closed.reason)}, {"open", closed.open}};
-        if (closed.since_answer) line["since_answer_ms"] = *closed.since_answer;
-        remark(log::Level::info, "client connection closed", line);
+    front_.on_connection_closed = [this](const fronts::ClosedConnection& closed) {
+        json line = {{"connection", closed.number},
+                     {"reason", fronts::name(closed.reason)},
+                     {"open", closed.pending_set_ups}};
+        if (closed.since_last_answer) line["since_answer_ms"] = *closed.since_last_answer;
+        log_event(log::Level::info, "client connection closed", line);
     };
-    front_.first_set_up = [this] { begin(); };
-    remark(log::Level::info, "started",
-           {{"listen", front_.address().text()}, {"list", config.dns.text()}, {"nodes", members_.size()}});
+    front_.on_first_set_up = [this] { begin(); };
+    log_event(log::Level::info, "started",
+              {{"listen", front_.address().text()}, {"list", config.dns.text()}, {"nodes", members_.size()}});
     status_timer_ = loop_.after(kStatusEvery, [this] { tell_status(); });
 }
 void RelayProcess::tell_status() {
-    remark(log::Level::info, "status", status());
+    log_event(log::Level::info, "status", status());
     status_timer_ = loop_.after(kStatusEvery, [this] { tell_status(); });
 }
 RelayProcess::~RelayProcess() {
@@ -99,11 +102,11 @@
     engine_.on_remark = nullptr;
     engine_.on_slip = nullptr;
     engine_.on_gone = nullptr;
-    front_.on_closed = nullptr;
+    front_.on_connection_closed = nullptr;
     nodes_.on_remark = nullptr;
 }
 
-void RelayProcess::remark(log::Level level, const char* event, const json& fields) {
+void RelayProcess::log_event(log::Level level, const char* event, const json& fields) {
     log_.write(level, loop_.wall_ms(), event, fields);
 }
 
@@ -169,7 +172,7 @@
     members_ = all;
     know();
     if (began_ && !changes.entries.empty()) engine_.take_list(changes);
-    remark(log::Level::info, "list", {{"nodes", all.size()}, {"changed", changes.entries.size()}});
+    log_event(log::Level::info, "list", {{"nodes", all.size()}, {"changed", changes.entries.size()}});
 }
 
 // The same list again is news too: it is whole and of this moment, where the one of the start may be old.
@@ -184,8 +187,8 @@
 
 void RelayProcess::reload(const config::RelayConfig& config) {
     config_.dns = config.dns;
-    list_.move_to(config.dns);
-    remark(log::Level::info, "reloaded", {{"list", config.dns.text()}});
+    list_.set_server(config.dns);
+    log_event(log::Level::info, "reloaded", {{"list", config.dns.text()}});
 }
 
 void RelayProcess::stop(std::function<void()> done) {
@@ -194,21 +197,21 @@
     shutdown_.emplace(config_.settings, loop_.now());
     engine_.answer_by(shutdown_->answer_by());
     front_.begin_shutdown(*shutdown_);
-    remark(log::Level::info, "stopping", {{"owed", engine_.owed()}});
+    log_event(log::Level::info, "stopping", {{"owed", engine_.owed()}});
     stopping();
 }
 void RelayProcess::stopping() {
     front_.end_drained_connections();
-    const decide::Unfinished left{engine_.owed(), !front_.drained() || !nodes_.drained(),
-                                  front_.connections(), front_.heard_at()};
+    const decide::Unfinished left{engine_.owed(), !front_.has_sent_all_output() || !nodes_.drained(),
+                                  front_.connection_count(), front_.last_received_at()};
     if (!shutdown_->leaves(loop_.now(), left)) {
         stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
         return;
     }
     // Our ends follow the last words; the process leaves once they are out.
-    front_.end_all();
+    front_.end_all_connections();
     nodes_.end_all();
-    remark(log::Level::info, "stopped", status());
+    log_event(log::Level::info, "stopped", status());
     loop_.post([this] { done_(); });
 }
 
@@ -219,7 +222,7 @@
     });
     line["id"] = relay::hex(r.id);
     line["class"] = config_.classes[static_cast<std::size_t>(r.ask.cls)];
-    remark(log::Level::info, "session", line);
+    log_event(log::Level::info, "session", line);
 }
 
 json RelayProcess::status() const {
@@ -245,7 +248,7 @@
               {"open", engine_.open_sessions()},
               {"playing", engine_.playing()}}},
             {"viewers",
-             {{"connections", front_.connections()},
+             {{"connections", front_.connection_count()},
               {"set_ups", f.set_ups},
               {"closed", closed},
               {"unreadable", f.unreadable},
@@ -273,7 +276,7 @@
               {"bad", d.bad},
               {"older", d.older},
               {"unanswered", d.unanswered},
-              {"fault", list_.last_fault()}}}};
+              {"fault", list_.last_error()}}}};
 }
 
 }  // namespace ivyfield::cli
--- a/src/cli/relay.hpp
+++ b/src/cli/relay.hpp
@@ -23,7 +23,7 @@
     void reload(const config::RelayConfig& config);
     // Takes requests for a while yet, answers all that it took, then calls `done`.
     void stop(std::function<void()> done);
-    void remark(log::Level level, const char* event, const nlohmann::json& fields);
+    void log_event(log::Level level, const char* event, const nlohmann::json& fields);
     core::Engine& engine() { return engine_; }
     const fronts::RelayFront& front() const { return front_; }
     const nodes::RelayNodes& nodes() const { return nodes_; }
@@ -46,7 +46,7 @@
     core::Engine engine_;
     fronts::RelayFront front_;
     const io::Time clock_;  // what Unix time is to the loop's clock
-    discovery::SrvList list_;
+    discovery::SrvPoller list_;
     discovery::Members members_;
     std::map<ServerId, std::string> names_;
     std::deque<ServerId> named_;  // in the order of their coming
--- a/src/discovery/consul.cpp
+++ b/src/discovery/consul.cpp
@@ -81,11 +81,11 @@
 
 }  // namespace
 
-Parsed parse_health(const std::string& body, const std::vector<std::string>& kinds, io::Time now,
-                    double wall_ms) {
+HealthResponse parse_health_response(const std::string& body, const std::vector<std::string>& kinds,
+                                     io::Time now, double wall_ms) {
     const json doc = json::parse(body, nullptr, false);
     if (!doc.is_array()) throw std::invalid_argument("the answer is not a JSON array");
-    Parsed out;
+    HealthResponse out;
     std::map<std::string, std::size_t> ids;
     std::map<ServerId, std::string> numbers;
     for (const json& one : doc) {
@@ -97,33 +97,33 @@
                 throw std::invalid_argument(instance.id + ": its number is taken by another");
             out.instances.push_back(std::move(instance));
         } catch (const std::exception& e) {
-            out.left_out.push_back(e.what());
+            out.errors.push_back(e.what());
         }
     }
     return out;
 }
 
-Consul::Consul(io::Loop& loop, const ConsulSettings& settings, Changed changed)
+ConsulClient::ConsulClient(io::Loop& loop, const ConsulSettings& settings, Changed changed)
     : loop_(loop), settings_(settings), changed_(std::move(changed)), client_(loop, [&] {
           http::ClientLimits limits;
-          limits.parse.body = settings.body;
+          limits.parse.body = settings.max_body;
           return limits;
       }()) {
     ask();
 }
-Consul::~Consul() = default;
+ConsulClient::~ConsulClient() = default;
 
-void Consul::ask() {
+void ConsulClient::ask() {
     http::Request request;
     request.target = "/v1/health/service/" + settings_.service +
-                     "?wait=" + std::to_string(static_cast<long>(settings_.wait)) + "ms";
+                     "?wait=" + std::to_string(static_cast<long>(settings_.max_wait)) + "ms";
     if (index_ > 0) request.target += "&index=" + std::to_string(index_);
-    if (settings_.stale) request.target += "&stale";
-    request.headers.add("User-Agent", settings_.agent);
+    if (settings_.allow_stale) request.target += "&stale";
+    request.headers.add("User-Agent", settings_.user_agent);
     http::CallOptions options;
     options.connect_timeout = settings_.connect_timeout;
     // Consul adds up to a sixteenth of the wait, so that not all askers come back at once.
-    options.timeout = (index_ > 0 ? settings_.wait * 17 / 16 : 0) + 5000;
+    options.timeout = (index_ > 0 ? settings_.max_wait * 17 / 16 : 0) + 5000;
     call_ = client_.send(settings_.address, std::move(request), std::move(options),
                          [this](const http::CallResult& result) {
                              const std::shared_ptr<http::Call> self(std::move(call_));
@@ -132,34 +132,34 @@
                          });
 }
 
-void Consul::again(io::Time wait) {
+void ConsulClient::again(io::Time wait) {
     retry_ = loop_.after(wait, [this] { ask(); });
 }
 
-void Consul::answered(const http::CallResult& result) {
+void ConsulClient::answered(const http::CallResult& result) {
     const auto failed = [this](std::string why) {
         counts_.failures += 1;
         fault_ = std::move(why);
-        wait_ = std::clamp(wait_ * 2, settings_.retry, settings_.retry_most);
+        wait_ = std::clamp(wait_ * 2, settings_.min_retry_delay, settings_.max_retry_delay);
         again(wait_);
     };
     if (result.end != http::CallEnd::response) return failed(http::name(result.end));
     const http::Response& r = result.response;
     if (r.status != 200) return failed("status " + std::to_string(r.status));
     const double last_contact = number(r.headers.get("X-Consul-LastContact").value_or("0")).value_or(0);
-    if (last_contact > settings_.longest_stale || r.headers.get("X-Consul-KnownLeader") == "false") {
+    if (last_contact > settings_.max_staleness || r.headers.get("X-Consul-KnownLeader") == "false") {
         counts_.too_old += 1;
         return failed("the answer is too old: last contact " + std::to_string(last_contact) + " ms ago");
     }
-    Parsed parsed;
+    HealthResponse parsed;
     try {
-        parsed = parse_health(r.body, settings_.kinds, loop_.now(), loop_.wall_ms());
+        parsed = parse_health_response(r.body, settings_.kinds, loop_.now(), loop_.wall_ms());
     } catch (const std::invalid_argument& e) {
         return failed(e.what());
     }
     counts_.answers += 1;
-    counts_.left_out += parsed.left_out.size();
-    fault_ = parsed.left_out.empty() ? "" : parsed.left_out.front();
+    counts_.left_out += parsed.errors.size();
+    fault_ = parsed.errors.empty() ? "" : parsed.errors.front();
     wait_ = 0;
     const double told = number(r.headers.get("X-Consul-Index").value_or("0")).value_or(0);
     const auto index = told >= 1 ? static_cast<std::uint64_t>(told) : 0;
--- a/src/discovery/consul.hpp
+++ b/src/discovery/consul.hpp
@@ -30,34 +30,35 @@
 
 // Reads the answer's body. Times of start are set against the loop's clock with the two clocks given.
 // Throws std::invalid_argument that says what is wrong; instances that can't be used are left out and told.
-struct Parsed {
+struct HealthResponse {
     std::vector<Instance> instances;
-    std::vector<std::string> left_out;
+    std::vector<std::string> errors;
 };
-Parsed parse_health(const std::string& body, const std::vector<std::string>& kinds, io::Time now,
-                    double wall_ms);
+HealthResponse parse_health_response(const std::string& body, const std::vector<std::string>& kinds,
+                                     io::Time now, double wall_ms);
 
 struct ConsulSettings {
     io::Address address;
     std::string service;
-    std::string agent = "ivyfield";  // User-Agent, by which the list's log tells its askers apart
+    std::string user_agent = "ivyfield";  // User-Agent, by which the list's log tells its askers apart
     std::vector<std::string> kinds;
-    io::Time wait = 30000, connect_timeout = 1000, retry = 500, retry_most = 10000, longest_stale = 60000;
-    bool stale = true;
-    std::size_t body = 16 * 1024 * 1024;
+    io::Time max_wait = 30000, connect_timeout = 1000, min_retry_delay = 500, max_retry_delay = 10000,
+             max_staleness = 60000;
+    bool allow_stale = true;
+    std::size_t max_body = 16 * 1024 * 1024;
 };
 
 struct ConsulCounts {
     std::uint64_t answers = 0, failures = 0, resets = 0, too_old = 0, left_out = 0;
 };
 
-class Consul {
+class ConsulClient {
   public:
     using Changed = std::function<void(const std::vector<Instance>&)>;
-    Consul(io::Loop& loop, const ConsulSettings& settings, Changed changed);
-    ~Consul();
+    ConsulClient(io::Loop& loop, const ConsulSettings& settings, Changed changed);
+    ~ConsulClient();
     const ConsulCounts& counts() const { return counts_; }
-    std::string last_fault() const { return fault_; }
+    std::string last_error() const { return fault_; }
 
   private:
     void ask();
--- a/src/discovery/srv/srv.cpp
+++ b/src/discovery/srv/srv.cpp
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-std::string srv_query(const std::string& name, std::uint16_t id) {
+std::string build_srv_query(const std::string& name, std::uint16_t id) {
     Packet packet;
     ldns_rdf* dname = ldns_dname_new_frm_str(name.c_str());
     if (!dname) throw std::invalid_argument("\"" + name + "\" is no domain name");
@@ -87,9 +87,9 @@
     return out;
 }
 
-std::optional<SrvAnswer> read_srv(std::string_view bytes, const std::string& name, std::uint16_t id,
-                                  std::string& fault) {
-    const auto bad = [&](const std::string& why) -> std::optional<SrvAnswer> {
+std::optional<SrvResponse> parse_srv_response(std::string_view bytes, const std::string& name,
+                                              std::uint16_t id, std::string& fault) {
+    const auto bad = [&](const std::string& why) -> std::optional<SrvResponse> {
         fault = why;
         return std::nullopt;
     };
@@ -112,7 +112,7 @@
     if (text_of(ldns_rr_owner(question)) != wanted || ldns_rr_get_type(question) != LDNS_RR_TYPE_SRV)
         return bad("another question");
 
-    SrvAnswer answer;
+    SrvResponse answer;
     bool serial = false;
     const ldns_rr_list* authority = ldns_pkt_authority(p);
     for (std::size_t k = 0; k < ldns_rr_list_rr_count(authority); ++k) {
@@ -187,12 +187,12 @@
     return answer;
 }
 
-SrvList::SrvList(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known,
-                 Events events)
+SrvPoller::SrvPoller(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known,
+                     Events events)
     : loop_(loop),
       server_(server),
       name_(name),
-      query_(srv_query(name, 0)),
+      query_(build_srv_query(name, 0)),
       serial_(known),
       events_(std::move(events)),
       polling_(loop.now()) {
@@ -202,7 +202,7 @@
     next_ = loop_.after(0, [this] { ask(); });
 }
 
-void SrvList::move_to(const io::Address& server) {
+void SrvPoller::set_server(const io::Address& server) {
     if (server == server_) return;
     server_ = server;
     open_.clear();
@@ -210,7 +210,7 @@
     next_ = loop_.after(0, [this] { ask(); });
 }
 
-void SrvList::ask() {
+void SrvPoller::ask() {
     next_ = loop_.after(polling_.next(loop_.now()), [this] { ask(); });
     const auto id = static_cast<std::uint16_t>(loop_.random()());
     if (open_.size() >= kOpenQueries) open_.pop_front(), counts_.unanswered += 1;
@@ -220,7 +220,7 @@
     socket_->send(server_, query_);
 }
 
-void SrvList::heard(const io::Address& from, std::string_view bytes) {
+void SrvPoller::heard(const io::Address& from, std::string_view bytes) {
     if (from != server_ || bytes.size() < 2) {
         counts_.bad += 1;
         return;
@@ -238,7 +238,7 @@
         open_.erase(it);
         return confirm(fresh);
     }
-    const auto answer = read_srv(bytes, name_, id, fault_);
+    const auto answer = parse_srv_response(bytes, name_, id, fault_);
     if (!answer) {
         counts_.bad += 1;
         return;
@@ -247,7 +247,7 @@
     take(*answer, bytes, fresh);
 }
 
-void SrvList::take(const SrvAnswer& answer, std::string_view bytes, bool fresh) {
+void SrvPoller::take(const SrvResponse& answer, std::string_view bytes, bool fresh) {
     if (answer.serial < serial_) {
         polling_.heard(loop_.now());
         counts_.older += 1;
@@ -258,13 +258,13 @@
     polling_.heard(loop_.now());
     counts_.taken += 1;
     serial_ = answer.serial;
-    events_.changed(answer.members);
+    events_.on_changed(answer.members);
 }
 
-void SrvList::confirm(bool fresh) {
+void SrvPoller::confirm(bool fresh) {
     polling_.heard(loop_.now());
     counts_.same += 1;
-    if (fresh) events_.confirmed();
+    if (fresh) events_.on_confirmed();
 }
 
 }  // namespace ivyfield::discovery
--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -33,38 +33,38 @@
 };
 using Members = std::map<std::string, Member>;  // by uid
 
-struct SrvAnswer {
+struct SrvResponse {
     std::uint32_t serial = 0;
     Members members;
 };
 // A query's bytes.
-std::string srv_query(const std::string& name, std::uint16_t id);
+std::string build_srv_query(const std::string& name, std::uint16_t id);
 // The answer to that query, or why it is none (`fault`).
-std::optional<SrvAnswer> read_srv(std::string_view bytes, const std::string& name, std::uint16_t id,
-                                  std::string& fault);
+std::optional<SrvResponse> parse_srv_response(std::string_view bytes, const std::string& name,
+                                              std::uint16_t id, std::string& fault);
 
 struct SrvCounts {
     std::uint64_t asked = 0, taken = 0, same = 0, bad = 0, older = 0, unanswered = 0;
 };
 
-class SrvList {
+class SrvPoller {
   public:
     // What a good answer that is not older than the last one tells.
     struct Events {
-        std::function<void(const Members& all)> changed;  // a whole list, newer than the last
-        std::function<void()> confirmed;                  // the last one holds at this moment
+        std::function<void(const Members& all)> on_changed;  // a whole list, newer than the last
+        std::function<void()> on_confirmed;                  // the last one holds at this moment
     };
     // `known`: the number of the last event that `members` holds.
-    SrvList(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known,
-            Events events);
-    void move_to(const io::Address& server);  // the numbers go on
+    SrvPoller(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known,
+              Events events);
+    void set_server(const io::Address& server);  // the numbers go on
     const SrvCounts& counts() const { return counts_; }
-    const std::string& last_fault() const { return fault_; }
+    const std::string& last_error() const { return fault_; }
 
   private:
     void ask();
     void heard(const io::Address& from, std::string_view bytes);
-    void take(const SrvAnswer& answer, std::string_view bytes, bool fresh);
+    void take(const SrvResponse& answer, std::string_view bytes, bool fresh);
     void confirm(bool fresh);
 
     io::Loop& loop_;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -53,7 +53,8 @@
     return std::llround(kb * 8);
 }
 
-std::string master_playlist(const Settings& settings, int cls, int rung, int top, const core::Media& media) {
+std::string make_master_playlist(const Settings& settings, int cls, int rung, int top,
+                                 const core::Media& media) {
     std::vector<hls::Variant> variants;
     const auto variant = [&](int r) {
         hls::Variant v;
@@ -72,7 +73,7 @@
 }
 
 // One HTTP request that waits for its session's answer.
-struct HttpFront::Pending : core::Waiter {
+struct HttpFront::PendingRequest : core::Waiter {
     HttpFront& front;
     std::uint64_t number;
     http::ExchangePtr exchange;
@@ -81,7 +82,7 @@
     SessionId session = 0;
     bool done = false;
 
-    Pending(HttpFront& owner, std::uint64_t n, http::ExchangePtr e, core::Ask a)
+    PendingRequest(HttpFront& owner, std::uint64_t n, http::ExchangePtr e, core::Ask a)
         : front(owner), number(n), exchange(std::move(e)), ask(std::move(a)), began(owner.loop_.now()) {}
 
     hints::Keys dynamic_keys() const {
@@ -111,7 +112,7 @@
         r.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, fixed));
         const int top =
             std::max(where.rung, std::min(s.classes[static_cast<std::size_t>(ask.cls)].top, ask.top_rung));
-        r.body = master_playlist(s, ask.cls, where.rung, top, where.media);
+        r.body = make_master_playlist(s, ask.cls, where.rung, top, where.media);
         send(std::move(r), keys);
     }
     void refused(Time retry_after) override {
@@ -143,7 +144,7 @@
 HttpFront::~HttpFront() = default;
 
 std::string HttpFront::make_sid() {
-    counts_.sids_made += 1;
+    counts_.generated_sids += 1;
     static constexpr char digits[] = "0123456789abcdef";
     std::string out;
     for (int k = 0; k < 2; ++k)
@@ -174,7 +175,7 @@
     if (is_status) {
         http::Response r;
         r.headers.add("Content-Type", "application/json");
-        r.body = status ? status() : "{}";
+        r.body = render_status ? render_status() : "{}";
         return exchange->respond(r);
     }
     watch(exchange, parts[2], parts[3], parts[4]);
@@ -210,14 +211,14 @@
         while (ask.top_rung > c.floor && rung_kbps(s, ask.cls, ask.top_rung) > *top) ask.top_rung -= 1;
     }
     const std::uint64_t number = ++next_;
-    auto owned = std::make_unique<Pending>(*this, number, exchange, ask);
-    Pending& pending = *owned;
+    auto owned = std::make_unique<PendingRequest>(*this, number, exchange, ask);
+    PendingRequest& pending = *owned;
     pending_.emplace(number, std::move(owned));
     exchange->on_gone([this, number] {
         const auto it = pending_.find(number);
         if (it == pending_.end() || it->second->done) return;
         counts_.gone += 1;
-        Pending& p = *it->second;
+        PendingRequest& p = *it->second;
         p.done = true;
         engine_.leave(p.session, &p);
         loop_.post([this, number] { pending_.erase(number); });
--- a/src/fronts/http/front.hpp
+++ b/src/fronts/http/front.hpp
@@ -21,8 +21,8 @@
 
 namespace ivyfield::fronts {
 
-struct FrontCounts {
-    std::uint64_t requests = 0, bad = 0, hints_dropped = 0, sids_made = 0, gone = 0, preflights = 0;
+struct HttpFrontCounts {
+    std::uint64_t requests = 0, bad = 0, hints_dropped = 0, generated_sids = 0, gone = 0, preflights = 0;
 };
 
 class HttpFront {
@@ -33,12 +33,12 @@
     // Graceful shutdown, see http::Server.
     void drain() { server_.drain(); }
     void stop_listening() { server_.stop_listening(); }
-    std::size_t connections() const { return server_.open(); }
-    const FrontCounts& counts() const { return counts_; }
+    std::size_t connection_count() const { return server_.open(); }
+    const HttpFrontCounts& counts() const { return counts_; }
     const http::ServerCounts& http_counts() const { return server_.counts(); }
-    std::function<std::string()> status;  // the body of /v1/status
+    std::function<std::string()> render_status;  // the body of /v1/status
 
-    struct Pending;
+    struct PendingRequest;
 
   private:
     void serve(const http::ExchangePtr& exchange);
@@ -49,14 +49,15 @@
     io::Loop& loop_;
     config::Config config_;
     core::Engine& engine_;
-    FrontCounts counts_;
+    HttpFrontCounts counts_;
     std::uint64_t next_ = 0;
-    std::map<std::uint64_t, std::unique_ptr<Pending>> pending_;
+    std::map<std::uint64_t, std::unique_ptr<PendingRequest>> pending_;
     http::Server server_;
 };
 
 // The playlist that sends a player to a node: the rung in force first, for players that start with the first.
-std::string master_playlist(const Settings& settings, int cls, int rung, int top, const core::Media& media);
+std::string make_master_playlist(const Settings& settings, int cls, int rung, int top,
+                                 const core::Media& media);
 // Kilobits a second of a rung of the class's ladder, as CMSD's mb and HLS's BANDWIDTH tell it.
 std::int64_t rung_kbps(const Settings& settings, int cls, int rung);
 
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -137,7 +137,7 @@
 // ---- Connections ----
 
 void RelayFront::accepted(std::unique_ptr<io::Stream> stream) {
-    heard_at_ = loop_.now();
+    last_received_at_ = loop_.now();
     if (!make_room()) {  // closed with nothing sent on it: nothing has been taken by it
         counts_.turned_away += 1;
         return;
@@ -181,9 +181,10 @@
     if (std::exchange(c.accounted, true)) return;
     counts_.closed[static_cast<std::size_t>(reason)] += 1;
     ClosedConnection closed{c.number, reason, c.open.size(), std::nullopt};
-    if (c.answered) closed.since_answer = loop_.now() - *c.answered;
-    const bool crosses_answer = closed.since_answer && decide::may_have_crossed(*closed.since_answer);
-    if (on_closed && (closed.open > 0 || crosses_answer)) on_closed(closed);
+    if (c.answered) closed.since_last_answer = loop_.now() - *c.answered;
+    const bool crosses_answer =
+        closed.since_last_answer && decide::may_have_crossed(*closed.since_last_answer);
+    if (on_connection_closed && (closed.pending_set_ups > 0 || crosses_answer)) on_connection_closed(closed);
 }
 
 void RelayFront::closed_by_client(Connection& c, CloseReason reason) {
@@ -244,8 +245,9 @@
     notify_pending();
     std::vector<Connection*> old;
     for (const auto& c : connections_) {
-        if (c->ending ? loop_.now() - c->ended > limits_.linger
-                      : c->open.empty() && c->standing.empty() && loop_.now() - c->used > limits_.idle)
+        if (c->ending
+                ? loop_.now() - c->ended > limits_.linger
+                : c->open.empty() && c->standing.empty() && loop_.now() - c->used > limits_.idle_timeout)
             old.push_back(c.get());
     }
     for (Connection* c : old) {
@@ -290,7 +292,7 @@
     }
 }
 
-void RelayFront::end_all() {
+void RelayFront::end_all_connections() {
     for (const auto& c : connections_) {
         if (c->ending) continue;
         account_for_close(*c, CloseReason::hard_deadline);
@@ -300,7 +302,7 @@
     }
 }
 
-bool RelayFront::drained() const {
+bool RelayFront::has_sent_all_output() const {
     return std::all_of(connections_.begin(), connections_.end(),
                        [](const auto& c) { return c->stream->pending() == 0; });
 }
@@ -310,7 +312,7 @@
     c.used = loop_.now();
     if (c.unread) return;
     c.stream->write(relay::write_line(m));
-    if (c.stream->pending() <= limits_.unread_output) return;
+    if (c.stream->pending() <= limits_.max_unsent_output) return;
     // Not within this call: it may be the module's refusal of one set-up, with the sending of another of the
     // same connection still to be carried out.
     c.unread = true;
@@ -334,7 +336,7 @@
 // ---- What viewers say ----
 
 void RelayFront::heard(Connection& c, std::string_view bytes) {
-    heard_at_ = loop_.now();
+    last_received_at_ = loop_.now();
     if (c.ending) return;
     c.used = loop_.now();
     while (!c.gone && !c.ending && !bytes.empty()) {
@@ -365,7 +367,7 @@
         case Type::release:
             return take_release(c, m);
         case Type::ping: {
-            counts_.tests += 1;
+            counts_.pings += 1;
             c.tested = true;
             ViewerMessage pong;
             pong.type = Type::pong, pong.id = m.id, pong.cause = relay::kCausePassed;
@@ -454,15 +456,15 @@
     const std::string why = read_ask(m, ask, at);
     if (!why.empty()) {
         counts_.bad += 1;
-        if (on_bad) on_bad(why, m);
+        if (on_invalid_set_up) on_invalid_set_up(why, m);
         return release(c, m.id, kUnusable);
     }
-    if (first_set_up && !began_) first_set_up();
+    if (on_first_set_up && !began_) on_first_set_up();
     began_ = true;
     c.carried = true;
     notify_pending();
     if (!at.empty()) {
-        const auto server = node_named ? node_named(at) : std::nullopt;
+        const auto server = find_node ? find_node(at) : std::nullopt;
         // It may name what we hold already.
         if (engine_.knows(m.session)) return;
         if (!server) {
@@ -472,7 +474,7 @@
         counts_.adopted += 1;
         standing_[m.session] = {&c, std::numeric_limits<io::Time>::lowest()};
         c.standing.insert(m.session);
-        adopt(ask, *server);
+        adopt_session(ask, *server);
         return;
     }
     if (engine_.knows(m.session)) {  // it stands: its number is taken
@@ -531,7 +533,7 @@
 
 // ---- What ends ----
 
-void RelayFront::gone(SessionId id, bool owed, bool moved) {
+void RelayFront::handle_session_end(SessionId id, bool owed, bool moved) {
     Established session{nullptr, std::numeric_limits<io::Time>::lowest()};
     if (const auto it = standing_.find(id); it != standing_.end()) {
         session = it->second;
@@ -569,7 +571,8 @@
 }
 
 void RelayFront::notify_elsewhere(const Notification& end) {
-    if (pending_notifications_.size() >= limits_.pending_notifications) pending_notifications_.pop_front();
+    if (pending_notifications_.size() >= limits_.max_pending_notifications)
+        pending_notifications_.pop_front();
     pending_notifications_.push_back(end);
     notify_pending();
 }
--- a/src/fronts/relay/front.hpp
+++ b/src/fronts/relay/front.hpp
@@ -21,10 +21,10 @@
 
 struct RelayFrontLimits {
     decide::IntakeLimits intake{256, 256};
-    std::size_t unread_output = 256 * 1024;    // of one connection
-    std::size_t pending_notifications = 4096;  // that wait for a connection
-    io::Time linger = 500;  // a closed connection is still read, so that its last word arrives
-    io::Time idle = 10000;  // without a session
+    std::size_t max_unsent_output = 256 * 1024;    // of one connection
+    std::size_t max_pending_notifications = 4096;  // that wait for a connection
+    io::Time linger = 500;          // a closed connection is still read, so that its last word arrives
+    io::Time idle_timeout = 10000;  // without a session
 };
 
 // Why a client connection ended; the first reason found counts.
@@ -47,13 +47,13 @@
 struct ClosedConnection {
     std::uint64_t number = 0;  // in the order of acceptance, from 1
     CloseReason reason = CloseReason::client_end;
-    std::size_t open = 0;                  // set-ups without an answer
-    std::optional<io::Time> since_answer;  // the last one written on it
+    std::size_t pending_set_ups = 0;            // set-ups without an answer
+    std::optional<io::Time> since_last_answer;  // the last one written on it
 };
 
 struct RelayFrontCounts {
     std::array<std::uint64_t, kCloseReasons> closed{};  // by reason
-    std::uint64_t connections = 0, set_ups = 0, unreadable = 0, bad = 0, repeated = 0, gave_up = 0, tests = 0,
+    std::uint64_t connections = 0, set_ups = 0, unreadable = 0, bad = 0, repeated = 0, gave_up = 0, pings = 0,
                   adopted = 0, hung_up = 0, releases = 0, unknown_releases = 0, shed = 0, turned_away = 0;
 };
 
@@ -71,18 +71,18 @@
     RelayFront& operator=(const RelayFront&) = delete;
 
     // The media node of that name, where the list has it.
-    std::function<std::optional<ServerId>(const std::string& uid)> node_named;
+    std::function<std::optional<ServerId>(const std::string& uid)> find_node;
     // A session that plays already is handed over: to the engine, and to the node's link.
-    std::function<bool(const core::Ask& ask, ServerId server)> adopt;
+    std::function<bool(const core::Ask& ask, ServerId server)> adopt_session;
     // A set-up that can't be used, and why.
-    std::function<void(const std::string& why, const relay::ViewerMessage& m)> on_bad;
+    std::function<void(const std::string& why, const relay::ViewerMessage& m)> on_invalid_set_up;
     // A connection ends with a set-up open on it, or so soon after an answer that the two may have crossed.
-    std::function<void(const ClosedConnection&)> on_closed;
+    std::function<void(const ClosedConnection&)> on_connection_closed;
     // Before the first set-up is passed on.
-    std::function<void()> first_set_up;
+    std::function<void()> on_first_set_up;
 
     // A session that stood has ended or is moved; its viewer is told where that is owed.
-    void gone(SessionId id, bool owed, bool moved);
+    void handle_session_end(SessionId id, bool owed, bool moved);
     // Graceful shutdown: set-ups that come after its time are refused, and connections are ended one by one.
     // New ones are taken to the last: closing the listener would reset those that the system has accepted and
     // nobody has read yet, and what crosses an end is sent again on a new connection.
@@ -90,13 +90,13 @@
     // Ends the connections whose turn it is; to be called now and then during a shutdown.
     void end_drained_connections();
     // When bytes or a connection last came; before it leaves a director has read all that did.
-    io::Time heard_at() const { return heard_at_; }
+    io::Time last_received_at() const { return last_received_at_; }
     // The hard deadline: our end follows what is written. Reset, an answer on its way would be lost.
-    void end_all();
+    void end_all_connections();
     io::Address address() const { return listener_->address(); }  // with its port, where 0 was asked for
-    std::size_t connections() const { return connections_.size(); }
-    std::size_t open() const { return requests_.size(); }
-    bool drained() const;
+    std::size_t connection_count() const { return connections_.size(); }
+    std::size_t pending_set_ups() const { return requests_.size(); }
+    bool has_sent_all_output() const;
     const RelayFrontCounts& counts() const { return counts_; }
 
   private:
@@ -140,7 +140,7 @@
     RelayFrontLimits limits_;
     core::Engine& engine_;
     bool began_ = false;
-    io::Time heard_at_ = 0;
+    io::Time last_received_at_ = 0;
     std::optional<decide::Shutdown> shutdown_;
     bool ending_drained_ = false;                         // end_drained_connections() is posted
     std::list<std::unique_ptr<Connection>> connections_;  // oldest first
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -39,7 +39,7 @@
   private:
     static discovery::ConsulSettings consul_settings(const config::Config& c) {
         discovery::ConsulSettings s;
-        s.address = c.consul, s.service = c.service, s.kinds = c.kinds, s.agent = "ivyfield/" + c.name;
+        s.address = c.consul, s.service = c.service, s.kinds = c.kinds, s.user_agent = "ivyfield/" + c.name;
         return s;
     }
     struct Known {
@@ -160,7 +160,7 @@
     http::Client client_;
     std::map<std::uint64_t, std::unique_ptr<http::Call>> calls_;
     http::Server server_;
-    discovery::Consul consul_;
+    discovery::ConsulClient consul_;
 };
 
 struct RogueHost : day::DirectorHost {
--- a/tests/discovery/consul_test.cpp
+++ b/tests/discovery/consul_test.cpp
@@ -20,13 +20,13 @@
 
 TEST(Health, InstancesAsTheyAreListed) {
     const std::string maintenance = R"([{"CheckID":"_service_maintenance:c","Status":"critical"}])";
-    const Parsed p =
-        parse_health("[" + instance("a", ",\"position\":\"7\",\"started_ms\":\"1000000\"") + "," +
-                         instance("b", ",\"state\":\"draining\"") + "," + instance("c", "", maintenance) +
-                         "," + instance("d", "", R"([{"CheckID":"serfHealth","Status":"critical"}])") + "," +
-                         instance("e", ",\"kind\":\"odd\"") + "," + instance("a") + "," +
-                         instance("f", ",\"position\":\"x\"") + ",{},5]",
-                     {"small", "large"}, 500, 1000400);
+    const HealthResponse p = parse_health_response(
+        "[" + instance("a", ",\"position\":\"7\",\"started_ms\":\"1000000\"") + "," +
+            instance("b", ",\"state\":\"draining\"") + "," + instance("c", "", maintenance) + "," +
+            instance("d", "", R"([{"CheckID":"serfHealth","Status":"critical"}])") + "," +
+            instance("e", ",\"kind\":\"odd\"") + "," + instance("a") + "," +
+            instance("f", ",\"position\":\"x\"") + ",{},5]",
+        {"small", "large"}, 500, 1000400);
     ASSERT_EQ(p.instances.size(), 4u);
     EXPECT_EQ(p.instances[0].entry.kind, 1);
     EXPECT_EQ(p.instances[0].entry.position, 7);
@@ -35,13 +35,13 @@
     EXPECT_EQ(p.instances[1].entry.state, ServerState::draining);
     EXPECT_EQ(p.instances[2].entry.state, ServerState::draining);
     EXPECT_EQ(p.instances[3].entry.state, ServerState::gone);
-    EXPECT_EQ(p.left_out.size(), 5u);
-    EXPECT_THROW(parse_health("{}", {}, 0, 0), std::invalid_argument);
-    EXPECT_THROW(parse_health("[", {}, 0, 0), std::invalid_argument);
+    EXPECT_EQ(p.errors.size(), 5u);
+    EXPECT_THROW(parse_health_response("{}", {}, 0, 0), std::invalid_argument);
+    EXPECT_THROW(parse_health_response("[", {}, 0, 0), std::invalid_argument);
 }
 TEST(Health, NumbersStayThroughRestartsAndTellAddressesApart) {
     const auto id = [](const std::string& body) {
-        return parse_health(body, {"large"}, 0, 0).instances.at(0).entry.id;
+        return parse_health_response(body, {"large"}, 0, 0).instances.at(0).entry.id;
     };
     EXPECT_EQ(id("[" + instance("a") + "]"), id("[" + instance("a") + "]"));
     EXPECT_NE(id("[" + instance("a") + "]"), id("[" + instance("b") + "]"));
@@ -55,13 +55,14 @@
     http::Server server{
         there, {"127.0.0.1", 8500}, {}, [this](const http::ExchangePtr& e) { held.push_back(e); }};
     std::vector<std::size_t> lists;
-    std::unique_ptr<Consul> consul;
+    std::unique_ptr<ConsulClient> consul;
     void SetUp() override {
         ConsulSettings s;
         s.address = {"127.0.0.1", 8500};
         s.service = "media";
         s.kinds = {"large"};
-        consul = std::make_unique<Consul>(here, s, [this](const auto& all) { lists.push_back(all.size()); });
+        consul =
+            std::make_unique<ConsulClient>(here, s, [this](const auto& all) { lists.push_back(all.size()); });
         run(100);
     }
     void run(double ms) { world.run_until(world.now() + ms); }
@@ -106,7 +107,7 @@
     EXPECT_EQ(lists, (std::vector<std::size_t>{1}));
     EXPECT_EQ(consul->counts().failures, 3u);
     EXPECT_EQ(consul->counts().too_old, 1u);
-    EXPECT_FALSE(consul->last_fault().empty());
+    EXPECT_FALSE(consul->last_error().empty());
     answer("[]", "8");
     EXPECT_EQ(lists, (std::vector<std::size_t>{1, 0}));
 }
--- a/tests/discovery/srv_heap_test.cpp
+++ b/tests/discovery/srv_heap_test.cpp
@@ -29,16 +29,16 @@
 namespace {
 
 TEST(SrvHeap, AskingAndReadingTakeNoLargeBuffers) {
-    std::vector<Listed> nodes;
+    std::vector<ListedNode> nodes;
     for (int k = 0; k < 30; ++k) nodes.push_back({"s-" + std::to_string(k), {"127.0.0.1", 9001}});
-    const std::string query = discovery::srv_query("_api._tcp.svc.local", 7);
-    const std::string answer = dns_answer(query, 9, nodes);
+    const std::string query = discovery::build_srv_query("_api._tcp.svc.local", 7);
+    const std::string answer = make_dns_response(query, 9, nodes);
     std::string fault;
     io::World world(3);
-    discovery::SrvList list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
-                            {[](const auto&) {}, [] {}});
+    discovery::SrvPoller list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
+                              {[](const auto&) {}, [] {}});
     largest = taken = 0;
-    const auto read = discovery::read_srv(answer, "_api._tcp.svc.local", 7, fault);
+    const auto read = discovery::parse_srv_response(answer, "_api._tcp.svc.local", 7, fault);
     world.run_until(world.now() + 1000);
     ASSERT_TRUE(read) << fault;
     EXPECT_EQ(read->members.size(), 30u);
@@ -49,9 +49,9 @@
 
 // A client's answer waits while the list is read, four times a second at each director.
 TEST(SrvHeap, AnAnswerThatBringsNothingNewIsNotParsedAgain) {
-    std::vector<Listed> nodes;
+    std::vector<ListedNode> nodes;
     for (int k = 0; k < 36; ++k) nodes.push_back({"s-" + std::to_string(k), {"127.0.0.1", 9001}});
-    std::string answer = dns_answer(discovery::srv_query("_api._tcp.svc.local", 7), 9, nodes);
+    std::string answer = make_dns_response(discovery::build_srv_query("_api._tcp.svc.local", 7), 9, nodes);
     io::World world(3);
     io::VirtualLoop& names = world.start("names");
     std::size_t answers = 0;
@@ -62,8 +62,8 @@
         server->send(from, answer);
     });
     std::size_t whole = 0;
-    discovery::SrvList list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
-                            {[&](const auto&) { whole += 1; }, [&] { whole += 1; }});
+    discovery::SrvPoller list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
+                              {[&](const auto&) { whole += 1; }, [&] { whole += 1; }});
     world.run_until(world.now() + 400);
     ASSERT_GE(whole, 1u);
     const std::size_t before = answers;
--- a/tests/fronts/front_test.cpp
+++ b/tests/fronts/front_test.cpp
@@ -180,7 +180,7 @@
     run(500);
     for (const auto& one : all) EXPECT_EQ(one->result.response.status, 200);
     EXPECT_EQ(director->engine().counts().taken, 4u);
-    EXPECT_EQ(director->front().counts().sids_made, 4u);
+    EXPECT_EQ(director->front().counts().generated_sids, 4u);
     EXPECT_GT(director->front().counts().hints_dropped, 3u);
 }
 TEST_F(PathTest, TopBitrateBoundsTheRung) {
--- a/tests/relay/process.hpp
+++ b/tests/relay/process.hpp
@@ -144,7 +144,7 @@
     Stage(const Stage&) = delete;
     Stage& operator=(const Stage&) = delete;
 
-    std::vector<Listed> listed;
+    std::vector<ListedNode> listed;
     std::uint32_t serial = 3;
     bool names_answer = false;  // silent by default: a director lives by the list of its start
     int asked = 0;
@@ -166,7 +166,7 @@
     }
     std::string config_path() const { return folder_ + "/config.json"; }
     void write_config(int dns_port) {
-        std::string text = config_text(listed, "127.0.0.1:" + std::to_string(dns_port), sockets_);
+        std::string text = make_director_config(listed, "127.0.0.1:" + std::to_string(dns_port), sockets_);
         // A node is asked nothing before its set-up: each connection is that of one set-up.
         text.replace(text.find("\"probes\":true"), 13, "\"probes\":false");
         io::write_file(config_path(), edit(text));
@@ -348,7 +348,8 @@
             if (n <= 0) return;
             asked += 1;
             if (!names_answer) continue;
-            const std::string answer = dns_answer({buffer, static_cast<std::size_t>(n)}, serial, listed);
+            const std::string answer =
+                make_dns_response({buffer, static_cast<std::size_t>(n)}, serial, listed);
             ::sendto(names_, answer.data(), answer.size(), 0, reinterpret_cast<const sockaddr*>(&from), size);
         }
     }
--- a/tests/relay/process_test.cpp
+++ b/tests/relay/process_test.cpp
@@ -14,7 +14,7 @@
 
 // Plays one session to the point where it stands; its node connection.
 Wire stands(Stage& stage, Wire& viewer, std::uint64_t id, const std::string& cls = "free one") {
-    viewer.say(setup_line(id, cls));
+    viewer.say(make_set_up_line(id, cls));
     Wire node = stage.accept();
     EXPECT_EQ(stage.frame(node, Type::setup).session, id);
     node.send(Type::answer, id, -1, {{63, "it plays"}});
@@ -34,9 +34,9 @@
     Wire taken = stage.viewer();
     stage.barrier(taken);
     stage.stop();
-    taken.say(setup_line(1, "paid"));
+    taken.say(make_set_up_line(1, "paid"));
     Wire queued = stage.viewer();
-    queued.say(setup_line(2, "paid"));
+    queued.say(make_set_up_line(2, "paid"));
     stage.signal(SIGTERM);
     stage.go_on();
     Wire one = stage.accept(), two = stage.accept();
@@ -57,11 +57,11 @@
     stage.signal(SIGTERM);
     stage.await_log("stopping");
     stage.stop();
-    taken.say(setup_line(1, "paid"));
+    taken.say(make_set_up_line(1, "paid"));
     std::list<Wire> queued;
     for (std::uint64_t k = 0; k < 100; ++k) {  // more than are accepted in one turn
         queued.push_back(stage.viewer());
-        queued.back().say(setup_line(2 + k, "paid"));
+        queued.back().say(make_set_up_line(2 + k, "paid"));
     }
     const double late = clock_ms() + 800;  // past 0.75 s: all of its timers are due when it goes on
     stage.await([&] { return clock_ms() > late; });
@@ -78,7 +78,7 @@
     Stage stage;
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid", 5000));
+    viewer.say(make_set_up_line(1, "paid", 5000));
     Wire node = stage.accept();
     EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
     const double asked = clock_ms();
@@ -106,7 +106,7 @@
     Wire viewer = stage.viewer();
     std::set<std::uint64_t> owed;
     for (std::uint64_t id = 1; id <= 6; ++id) {
-        viewer.say(setup_line(id, id % 2 ? "paid" : "free one", 3000));
+        viewer.say(make_set_up_line(id, id % 2 ? "paid" : "free one", 3000));
         owed.insert(id);
     }
     stage.barrier(viewer);
@@ -205,11 +205,11 @@
     Stage stage;
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid"));
+    viewer.say(make_set_up_line(1, "paid"));
     Wire node = stage.accept();
     EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
     stage.stop();
-    viewer.say(release_line(1, kGivenUp));
+    viewer.say(make_release_line(1, kGivenUp));
     node.send(Type::answer, 1, -1, {{63, "it plays"}});
     stage.go_on();
     EXPECT_EQ(stage.frame(node, Type::release).session, 1u);
@@ -229,16 +229,16 @@
     Wire half = stage.viewer(), whole = stage.viewer(), broken = stage.viewer();
     for (Wire* w : {&half, &whole, &broken}) stage.barrier(*w);
     stage.stop();
-    const std::string line = setup_line(1, "paid");
+    const std::string line = make_set_up_line(1, "paid");
     half.write(line.substr(0, line.size() / 2));
     half.close();
-    whole.say(setup_line(2, "paid"));
+    whole.say(make_set_up_line(2, "paid"));
     whole.close();
-    broken.say(setup_line(3, "paid"));
+    broken.say(make_set_up_line(3, "paid"));
     broken.reset();
     stage.go_on();
     Wire next = stage.viewer();
-    next.say(setup_line(4, "paid"));
+    next.say(make_set_up_line(4, "paid"));
     // What is dialled for nobody may come up, and is ended with nothing or with its set-up given up on it.
     std::list<Wire> links;
     std::set<std::uint64_t> open;
@@ -263,7 +263,7 @@
     Wire viewer = stage.viewer();
     stage.barrier(viewer);
     stage.stop();
-    viewer.say(setup_line(1, "free one"));
+    viewer.say(make_set_up_line(1, "free one"));
     stage.go_on();
     // The dial is out; whether the connection's coming up is found is up to the process: both are there.
     Wire node = stage.accept();
@@ -290,12 +290,12 @@
     Stage stage;
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid"));
-    viewer.say(setup_line(2, "paid"));
+    viewer.say(make_set_up_line(1, "paid"));
+    viewer.say(make_set_up_line(2, "paid"));
     Wire one = stage.accept(), two = stage.accept();
     if (stage.frame(one, Type::setup).session != 1) std::swap(one, two);
-    for (int k = 0; k < 50; ++k) viewer.say(setup_line(1, "paid", 3000));
-    viewer.say(setup_line(3, "paid", 3000));
+    for (int k = 0; k < 50; ++k) viewer.say(make_set_up_line(1, "paid", 3000));
+    viewer.say(make_set_up_line(3, "paid", 3000));
     for (int k = 0; k < 52; ++k) {
         const ViewerMessage m = stage.line(viewer);
         EXPECT_EQ(m.session, k < 51 ? 1u : 3u);
@@ -325,7 +325,7 @@
     stage.go_on();
     EXPECT_EQ(stage.frame(node, Type::released).session, 1u);
     Wire next = stage.viewer();
-    next.say(setup_line(2, "free one"));
+    next.say(make_set_up_line(2, "free one"));
     const ViewerMessage told = stage.line(next);
     EXPECT_EQ(told.session, 1u);
     EXPECT_EQ(told.type, Type::release);
@@ -338,7 +338,7 @@
     Stage stage;
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid"));
+    viewer.say(make_set_up_line(1, "paid"));
     Wire node = stage.accept();
     EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
     NodeMessage answer;
@@ -358,7 +358,7 @@
     Stage stage;
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid"));
+    viewer.say(make_set_up_line(1, "paid"));
     Wire node = stage.accept();
     EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
     stage.stop();
@@ -375,7 +375,7 @@
     Stage stage;
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid", 300));
+    viewer.say(make_set_up_line(1, "paid", 300));
     Wire node = stage.accept();
     EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
     stage.stop();
@@ -409,7 +409,7 @@
     stage.rewrite_config();
     stage.start();
     Wire viewer = stage.viewer();
-    viewer.say(setup_line(1, "paid", 4000));
+    viewer.say(make_set_up_line(1, "paid", 4000));
     stage.barrier(viewer);
     stage.stop();
     fill.clear();
@@ -447,7 +447,7 @@
     stage.start();
     Wire viewer = stage.viewer();
     Wire node = stands(stage, viewer, 1);
-    viewer.say(setup_line(2, "paid"));
+    viewer.say(make_set_up_line(2, "paid"));
     EXPECT_EQ(stage.frame(node, Type::setup).session, 2u);
     stage.stop();
     stage.listed[0].uid = "s-new";
@@ -463,7 +463,7 @@
     EXPECT_EQ(told[1], (std::vector<Type>{Type::release})) << "gone with its node";
     EXPECT_EQ(told[2], (std::vector<Type>{Type::answer, Type::release}));
     // What comes next goes to the new one at the same address.
-    viewer.say(setup_line(3, "paid"));
+    viewer.say(make_set_up_line(3, "paid"));
     std::list<Wire> links;
     EXPECT_TRUE(stage.await([&] {
         pollfd waits{stage.node_fd(0), POLLIN, 0};
@@ -508,9 +508,9 @@
             stage.barrier(others.back());
         }
         stage.stop();
-        if (set_up_first) oldest.say(setup_line(1, "paid"));
+        if (set_up_first) oldest.say(make_set_up_line(1, "paid"));
         for (int k = 0; k < 8; ++k) others.push_back(stage.viewer());
-        if (!set_up_first) oldest.say(setup_line(1, "paid"));
+        if (!set_up_first) oldest.say(make_set_up_line(1, "paid"));
         const double late = clock_ms() + 100;  // longer than what crosses a close may take
         stage.await([&] { return clock_ms() > late; });
         stage.go_on();
@@ -530,7 +530,7 @@
     std::list<Wire> others;
     for (int k = 0; k < 24; ++k) {
         others.push_back(stage.viewer());
-        others.back().say(setup_line(10 + static_cast<std::uint64_t>(k), "paid"));
+        others.back().say(make_set_up_line(10 + static_cast<std::uint64_t>(k), "paid"));
         stage.barrier(others.back());
     }
     for (int k = 0; k < 8; ++k) others.push_back(stage.viewer());
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -11,7 +11,7 @@
     Rig rig;
     Viewer& v = rig.viewer();
     v.say(R"({"type":"ping","id":"0000000000000001","fields":{},"cause":0})");
-    v.say(setup_line(0xabc, "paid"));
+    v.say(make_set_up_line(0xabc, "paid"));
     rig.run(200);
     ASSERT_EQ(v.of(Type::pong).size(), 1u);
     EXPECT_EQ(v.of(Type::pong)[0].cause, 1);
@@ -36,7 +36,7 @@
 
 TEST(Relay, TestsAskForAReport) {
     Rig rig;
-    rig.viewer().say(setup_line(1, "paid"));
+    rig.viewer().say(make_set_up_line(1, "paid"));
     rig.run(200);
     const auto tests = rig.nodes[0]->of(Type::ping);
     ASSERT_FALSE(tests.empty());
@@ -46,10 +46,10 @@
 TEST(Relay, SessionsHandedOverNameNoBoundToTheirWaitAndAreKept) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
-    v.say(setup_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
-    v.say(setup_line(6, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-9"));
-    v.say(setup_line(7, "paid", 4294967));
+    v.say(make_set_up_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
+    v.say(make_set_up_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
+    v.say(make_set_up_line(6, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-9"));
+    v.say(make_set_up_line(7, "paid", 4294967));
     rig.run(300);
     EXPECT_EQ(rig.director->engine().playing(), 1u);
     // A node that is not listed, and a wait without bound for one that does not play, are turned away.
@@ -66,9 +66,9 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(200);
-    v.say(release_line(1, 16));
+    v.say(make_release_line(1, 16));
     rig.run(200);
     EXPECT_TRUE(v.heard.empty()) << "no answer is owed";
     EXPECT_LT(rig.nodes[0]->open_links(), rig.nodes[0]->links.size()) << "given up at the node, by closing";
@@ -78,11 +78,11 @@
         if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "x"}});
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
-    v.say(setup_line(2, "free one"));
+    v.say(make_set_up_line(2, "free one"));
     rig.run(200);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     Viewer& other = rig.viewer();
-    other.say(release_line(2, 31));
+    other.say(make_release_line(2, 31));
     rig.run(200);
     EXPECT_EQ(other.of(Type::released).size(), 1u);
     EXPECT_EQ(v.of(Type::release).size(), 0u);
@@ -95,12 +95,12 @@
     Rig rig;
     rig.nodes[0]->react = nullptr;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "free one"));
+    v.say(make_set_up_line(1, "free one"));
     rig.run(120);
     v.stream.reset();
     rig.run(100);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
-    EXPECT_EQ(rig.director->front().open(), 0u);
+    EXPECT_EQ(rig.director->front().pending_set_ups(), 0u);
 }
 
 TEST(Relay, ARepeatedNumberDisturbsNeitherAnswer) {
@@ -109,15 +109,15 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer &v = rig.viewer(), &other = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(200);
-    other.say(setup_line(1, "paid"));
-    other.say(release_line(1, 16));
+    other.say(make_set_up_line(1, "paid"));
+    other.say(make_release_line(1, 16));
     rig.run(100);
     EXPECT_EQ(other.of(Type::answer).size(), 0u);
     EXPECT_EQ(other.of(Type::release).size(), 1u);
     EXPECT_FALSE(other.open) << "it would give up what is another's";
-    EXPECT_EQ(rig.director->front().open(), 1u);
+    EXPECT_EQ(rig.director->front().pending_set_ups(), 1u);
     rig.nodes[0]->links.front().send(Type::answer, 1, -1, {{63, "y"}});
     rig.run(100);
     EXPECT_EQ(v.of(Type::answer).size(), 1u);
@@ -127,16 +127,16 @@
     Rig rig;
     const std::string good = "home:0;copies:12;top:1;viewer:00000000b4d65521";
     const std::vector<std::string> lines = {
-        setup_line(1, "gold"),
-        setup_line(1, "paid", -5),
-        setup_line(1, "paid", 999999),
-        setup_line(1, "paid", 4000, "home:-1;copies:12;top:1;viewer:00000000b4d65521"),
-        setup_line(1, "paid", 4000, "home:12;copies:12;top:1;viewer:00000000b4d65521"),
-        setup_line(1, "paid", 4000, "home:0;copies:1e9;top:1;viewer:00000000b4d65521"),
-        setup_line(1, "paid", 4000, "home:0;copies:12;top:7;viewer:00000000b4d65521"),
-        setup_line(1, "paid", 4000, "home:0;copies:12;top:1;viewer:x"),
-        setup_line(1, "paid", 4000, ";;"),
-        setup_line(1, "paid", 4000, good, R"(,"tenant":"nobody")"),
+        make_set_up_line(1, "gold"),
+        make_set_up_line(1, "paid", -5),
+        make_set_up_line(1, "paid", 999999),
+        make_set_up_line(1, "paid", 4000, "home:-1;copies:12;top:1;viewer:00000000b4d65521"),
+        make_set_up_line(1, "paid", 4000, "home:12;copies:12;top:1;viewer:00000000b4d65521"),
+        make_set_up_line(1, "paid", 4000, "home:0;copies:1e9;top:1;viewer:00000000b4d65521"),
+        make_set_up_line(1, "paid", 4000, "home:0;copies:12;top:7;viewer:00000000b4d65521"),
+        make_set_up_line(1, "paid", 4000, "home:0;copies:12;top:1;viewer:x"),
+        make_set_up_line(1, "paid", 4000, ";;"),
+        make_set_up_line(1, "paid", 4000, good, R"(,"tenant":"nobody")"),
         R"({"type":"setup","id":"0000000000000001","fields":{}})",
         R"({"type":"sing","id":"0000000000000001"})"};
     for (const std::string& line : lines) {
@@ -163,11 +163,11 @@
     for (int k = 0; k < 300; ++k) rig.viewer();
     rig.run(50);
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     for (int k = 0; k < 50; ++k) rig.viewer();
     rig.run(300);
     EXPECT_EQ(v.of(Type::answer).size(), 1u);
-    EXPECT_LE(rig.director->front().connections(), 64u * 2 / 5);
+    EXPECT_LE(rig.director->front().connection_count(), 64u * 2 / 5);
 }
 
 TEST(Relay, AnswersThatCanNotBeReadEndThatSetUpAlone) {
@@ -182,9 +182,9 @@
             if (m.type == Type::setup) waiting.emplace_back(&link, m.session);
         };
         Viewer& v = rig.viewer();
-        v.say(setup_line(1, "paid"));
+        v.say(make_set_up_line(1, "paid"));
         rig.run(100);
-        v.say(setup_line(2, "paid"));
+        v.say(make_set_up_line(2, "paid"));
         rig.run(100);
         ASSERT_EQ(waiting.size(), 2u);
         ASSERT_NE(waiting[0].first, waiting[1].first) << "one open set-up a connection";
@@ -208,7 +208,7 @@
         if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "\xff\xfe"}});
     };
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(500);
     EXPECT_EQ(v.of(Type::answer).size(), 0u);
     EXPECT_EQ(v.of(Type::release).size(), 1u);
@@ -224,7 +224,7 @@
         link.send(Type::answer, m.session, -1, {{63, "again"}});
     };
     Viewer& v = rig.viewer();
-    for (std::uint64_t id = 1; id <= 5; ++id) v.say(setup_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 5; ++id) v.say(make_set_up_line(id, "paid"));
     rig.run(1000);
     EXPECT_EQ(v.heard.size(), 5u);
     EXPECT_EQ(v.of(Type::answer).size(), 5u);
@@ -237,7 +237,7 @@
         if (m.type == Type::setup) link.send(Type::release, m.session, 16, {{63, "short"}});
     };
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(500);
     ASSERT_EQ(v.heard.size(), 2u);
     EXPECT_EQ(v.heard[0].type, Type::answer);
@@ -253,10 +253,10 @@
     const auto served_after = [](double ms) {
         Rig rig(2, 256, 60000);
         Viewer& v = rig.viewer();
-        v.say(setup_line(1, "free one"));
+        v.say(make_set_up_line(1, "free one"));
         rig.run(ms);
         const auto before = v.of(Type::answer).size();
-        for (std::uint64_t id = 2; id <= 13; ++id) v.say(setup_line(id, "free one"));
+        for (std::uint64_t id = 2; id <= 13; ++id) v.say(make_set_up_line(id, "free one"));
         rig.run(500);
         return v.of(Type::answer).size() - before;
     };
@@ -272,7 +272,7 @@
     };
     rig.nodes[0]->react = full;
     Viewer& v = rig.viewer();
-    for (std::uint64_t id = 1; id <= 6; ++id) v.say(setup_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 6; ++id) v.say(make_set_up_line(id, "paid"));
     rig.run(1500);
     EXPECT_EQ(v.of(Type::answer).size(), 6u);
 }
@@ -288,7 +288,7 @@
     };
     rig.nodes[0]->react = rig.nodes[1]->react = mute;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "free one"));
+    v.say(make_set_up_line(1, "free one"));
     rig.run(1500);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     EXPECT_EQ(rig.nodes[0]->of(Type::release).size() + rig.nodes[1]->of(Type::release).size(), 1u);
@@ -297,7 +297,7 @@
 TEST(Relay, ADeadProcessEndsItsSessionsAndAnUnusedResetDoesNot) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(200);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     // Its connections are reset, but it goes on: dialled again, nothing is over.
@@ -318,7 +318,7 @@
 TEST(Relay, ALostConnectionIsFollowedByANewOneThoughOthersAreOpen) {
     Rig rig;
     Viewer& v = rig.viewer();
-    for (std::uint64_t id = 1; id <= 4; ++id) v.say(setup_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 4; ++id) v.say(make_set_up_line(id, "paid"));
     rig.run(500);
     ASSERT_EQ(v.of(Type::answer).size(), 4u);
     ASSERT_GE(rig.nodes[0]->open_links(), 2u);
@@ -333,7 +333,7 @@
 TEST(Relay, AnEndThatCrossesTheClosingOfItsConnectionIsHeard) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     // Another set-up is given up by its viewer: its connection is ended.
@@ -341,9 +341,9 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     rig.nodes[0]->at_end = [](auto& link) { link.send(Type::release, 1, 16); };
-    v.say(setup_line(2, "free one"));
+    v.say(make_set_up_line(2, "free one"));
     rig.run(200);
-    v.say(release_line(2, 16));
+    v.say(make_release_line(2, 16));
     rig.run(200);
     ASSERT_EQ(v.of(Type::release).size(), 1u);
     EXPECT_EQ(v.of(Type::release)[0].session, 1u);
@@ -352,7 +352,7 @@
 TEST(Relay, ANodeThatResetsEachConnectionIsNotDialledWithoutEnd) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     const auto before = rig.nodes[0]->links.size();
@@ -368,7 +368,7 @@
 TEST(Relay, ANodeThatIsHeardIsNotLookedFor) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(300);
     const auto dials = rig.director->nodes().counts().dials;
     for (int k = 0; k < 40; ++k) {
@@ -385,7 +385,7 @@
         if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "x"}});
     };
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(200);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     rig.nodes[0]->react = nullptr;  // hangs: connections still come up
@@ -401,9 +401,9 @@
 TEST(Relay, EndsAreToldOnAnotherConnectionOrOnTheNext) {
     Rig rig;
     Viewer &v = rig.viewer(), &other = rig.viewer();
-    v.say(setup_line(1, "paid"));
-    v.say(setup_line(2, "paid"));
-    other.say(setup_line(3, "paid"));
+    v.say(make_set_up_line(1, "paid"));
+    v.say(make_set_up_line(2, "paid"));
+    other.say(make_set_up_line(3, "paid"));
     rig.run(500);
     v.stream.reset();
     rig.run(50);
@@ -417,7 +417,7 @@
     rig.nodes[0]->links.back().send(Type::release, 2, 16);
     rig.run(100);
     Viewer& next = rig.viewer();
-    next.say(setup_line(4, "paid"));
+    next.say(make_set_up_line(4, "paid"));
     rig.run(300);
     ASSERT_EQ(next.of(Type::release).size(), 1u);
     EXPECT_EQ(next.of(Type::release)[0].session, 2u);
@@ -429,7 +429,7 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer& v = rig.viewer();
-    for (std::uint64_t id = 1; id <= 30; ++id) v.say(setup_line(id, "free one"));
+    for (std::uint64_t id = 1; id <= 30; ++id) v.say(make_set_up_line(id, "free one"));
     rig.run(300);
     EXPECT_GT(rig.nodes[0]->of(Type::setup).size(), 8u);
     EXPECT_LE(rig.director->nodes().connections(), 8u);
@@ -443,7 +443,7 @@
     rig.listed[0].state = "draining";
     rig.list(rig.listed);
     Viewer& v = rig.viewer();
-    for (std::uint64_t id = 1; id <= 5; ++id) v.say(setup_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 5; ++id) v.say(make_set_up_line(id, "paid"));
     rig.run(1000);
     EXPECT_EQ(v.of(Type::answer).size(), 5u);
     EXPECT_TRUE(rig.nodes[0]->of(Type::setup).empty());
@@ -452,13 +452,13 @@
 TEST(Relay, ANodeThatIsGoneTakesItsSessionsAndItsSuccessorInheritsNothing) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(200);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     rig.list({{"s-new", rig.listed[0].address}});
     EXPECT_EQ(v.of(Type::release).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
-    v.say(setup_line(2, "paid"));
+    v.say(make_set_up_line(2, "paid"));
     rig.run(300);
     EXPECT_EQ(v.of(Type::answer).size(), 2u);
 }
@@ -496,12 +496,12 @@
 }
 
 TEST(Relay, DamagedNameAnswersAreTakenWholeOrNotAtAll) {
-    const std::string query = discovery::srv_query("_api._tcp.svc.local", 77);
-    std::vector<Listed> nodes;
+    const std::string query = discovery::build_srv_query("_api._tcp.svc.local", 77);
+    std::vector<ListedNode> nodes;
     for (int k = 0; k < 5; ++k) nodes.push_back({"s-" + std::to_string(k), {"10.0.0.1", 5060}});
-    const std::string good = dns_answer(query, 9, nodes);
+    const std::string good = make_dns_response(query, 9, nodes);
     std::string fault;
-    const auto whole = discovery::read_srv(good, "_api._tcp.svc.local", 77, fault);
+    const auto whole = discovery::parse_srv_response(good, "_api._tcp.svc.local", 77, fault);
     ASSERT_TRUE(whole) << fault;
     EXPECT_EQ(whole->serial, 9u);
     ASSERT_EQ(whole->members.size(), 5u);
@@ -511,13 +511,13 @@
     EXPECT_EQ(m.cell, 2);
     EXPECT_EQ(m.kind, "std");
     for (std::size_t cut = 0; cut < good.size(); ++cut)
-        EXPECT_FALSE(
-            discovery::read_srv(std::string_view(good).substr(0, cut), "_api._tcp.svc.local", 77, fault));
+        EXPECT_FALSE(discovery::parse_srv_response(std::string_view(good).substr(0, cut),
+                                                   "_api._tcp.svc.local", 77, fault));
     std::mt19937 random(3);
     for (int k = 0; k < 20000; ++k) {
         std::string bad = good;
         for (int n = 0; n < 3; ++n) bad[random() % bad.size()] = static_cast<char>(random());
-        discovery::read_srv(bad, "_api._tcp.svc.local", 77, fault);
+        discovery::parse_srv_response(bad, "_api._tcp.svc.local", 77, fault);
     }
 }
 
@@ -527,7 +527,7 @@
     const io::Address other{"127.0.0.1", 5301};
     NameServer second(rig.names_loop, other, 4, {rig.listed[0]});
     rig.names->socket.reset();
-    rig.director->reload(config::read_relay_config(config_text(rig.listed, other.text())));
+    rig.director->reload(config::read_relay_config(make_director_config(rig.listed, other.text())));
     rig.run(600);
     EXPECT_GT(second.asked, 0);
     EXPECT_EQ(rig.director->status()["list"]["taken"].get<int>(), 1);
@@ -539,13 +539,13 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid", 2000));
+    v.say(make_set_up_line(1, "paid", 2000));
     rig.run(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run(500);
     Viewer& late = rig.viewer();
-    late.say(setup_line(2, "free one", 2000));
+    late.say(make_set_up_line(2, "free one", 2000));
     rig.run(400);
     EXPECT_FALSE(done);
     rig.run(3000);
@@ -564,8 +564,8 @@
         link.send(Type::answer, m.session, -1, {{63, "x"}});
         if (m.session == 1) link.send(Type::release, m.session, 31);
     };
-    v.say(setup_line(1, "paid", 2000));
-    v.say(setup_line(2, "paid", 2000));
+    v.say(make_set_up_line(1, "paid", 2000));
+    v.say(make_set_up_line(2, "paid", 2000));
     rig.run(500);
     ASSERT_EQ(v.of(Type::answer).size(), 2u);
     for (auto& link : rig.nodes[0]->links)
@@ -581,7 +581,7 @@
 TEST(Relay, ADirectorLeavesOnceItsNodesHaveHeardOfEveryEnd) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid", 2000));
+    v.say(make_set_up_line(1, "paid", 2000));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     bool done = false;
@@ -591,7 +591,7 @@
     for (auto& link : rig.nodes[0]->links)
         if (link.open) link.stream.reset();
     rig.run(50);
-    v.say(release_line(1, 16));
+    v.say(make_release_line(1, 16));
     rig.run(480);
     EXPECT_FALSE(done) << "nothing is owed to clients, and a node has not heard of an end";
     rig.nodes[0]->listener->resume();
@@ -605,7 +605,7 @@
 TEST(Relay, AnEndIsToldOnATestedConnectionWhereNoOtherIsThere) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid", 2000));
+    v.say(make_set_up_line(1, "paid", 2000));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     v.stream->end();
@@ -626,17 +626,17 @@
     Rig rig;
     Viewer& v = rig.viewer();
     Node& node = *rig.nodes[0];
-    v.say(setup_line(1, "paid", 2000));
+    v.say(make_set_up_line(1, "paid", 2000));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     const auto react = std::exchange(node.react, [](auto&, const auto&) {});
-    v.say(setup_line(2, "paid", 2000));
+    v.say(make_set_up_line(2, "paid", 2000));
     rig.run(100);
     const auto own = std::find_if(node.links.begin(), node.links.end(), [](const auto& l) { return l.open; });
     ASSERT_NE(own, node.links.end());
     for (auto& link : node.links) link.stream->pause();
     node.at_open = [](auto& link) { link.stream->pause(); };
-    v.say(release_line(2, 16));
+    v.say(make_release_line(2, 16));
     rig.run(1500);
     const std::size_t dialled = node.links.size();
     node.react = react;
@@ -658,8 +658,8 @@
     rig.nodes[0]->react = [](auto& link, const auto& m) {
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
-    own.say(setup_line(1, "paid", 3000));
-    other.say(setup_line(2, "paid", 3000));
+    own.say(make_set_up_line(1, "paid", 3000));
+    other.say(make_set_up_line(2, "paid", 3000));
     rig.run(100);
     rig.director->stop([] {});
     rig.run(900);
@@ -685,7 +685,7 @@
     Viewer& leaves = rig.viewer();
     Viewer& babbles = rig.viewer();
     rig.viewer();
-    leaves.say(setup_line(1, "paid", 2000));
+    leaves.say(make_set_up_line(1, "paid", 2000));
     rig.run(100);
     leaves.stream->end();
     babbles.say("no message");
@@ -708,12 +708,12 @@
     for (const bool crosses : {false, true}) {
         Rig rig;
         Viewer& v = rig.viewer();
-        v.say(setup_line(1, "paid", 2000));
+        v.say(make_set_up_line(1, "paid", 2000));
         rig.run(300);
         ASSERT_EQ(v.of(Type::answer).size(), 1u);
         for (auto& link : rig.nodes[0]->links) link.stream.reset();
         if (!crosses) rig.run(2);  // the director knows; it dials a little later
-        v.say(release_line(1, 16));
+        v.say(make_release_line(1, 16));
         rig.run(1000);
         ASSERT_EQ(rig.nodes[0]->of(Type::release).size(), 1u) << crosses;
         EXPECT_EQ(rig.nodes[0]->of(Type::release)[0].session, 1u);
@@ -726,8 +726,8 @@
 TEST(Relay, AnEndThatCrossesTheClosingOfItsViewersConnectionIsToldOnAnother) {
     Rig rig;
     Viewer &v = rig.viewer(), &other = rig.viewer();
-    v.say(setup_line(1, "paid", 2000));
-    other.say(setup_line(2, "paid", 2000));
+    v.say(make_set_up_line(1, "paid", 2000));
+    other.say(make_set_up_line(2, "paid", 2000));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     for (auto& link : rig.nodes[0]->links)
@@ -746,7 +746,7 @@
             break;
         }
     Viewer& third = rig.viewer();
-    third.say(setup_line(3, "paid", 2000));
+    third.say(make_set_up_line(3, "paid", 2000));
     rig.run(300);
     ASSERT_EQ(other.of(Type::release).size(), 2u);
     other.stream.reset();
@@ -762,14 +762,14 @@
     v.stream->pause();
     std::uint64_t id = 1;
     for (int k = 0; k < 40; ++k) {
-        for (int n = 0; n < 100; ++n) v.say(setup_line(id++, "no such class", 2000));
-        v.say(setup_line(id++, "paid", 2000));
+        for (int n = 0; n < 100; ++n) v.say(make_set_up_line(id++, "no such class", 2000));
+        v.say(make_set_up_line(id++, "paid", 2000));
         rig.run(20);
     }
     rig.run(3000);
     EXPECT_EQ(rig.director->engine().owed(), 0u);
     Viewer& next = rig.viewer();
-    next.say(setup_line(id, "paid", 2000));
+    next.say(make_set_up_line(id, "paid", 2000));
     rig.run(500);
     EXPECT_EQ(next.of(Type::answer).size(), 1u);
 }
@@ -811,12 +811,12 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer &v = rig.viewer(), &late = rig.viewer();
-    v.say(setup_line(1, "paid", 5000));
+    v.say(make_set_up_line(1, "paid", 5000));
     rig.run(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run(500);
-    late.say(setup_line(2, "paid", 5000));
+    late.say(make_set_up_line(2, "paid", 5000));
     rig.run(2900);
     EXPECT_TRUE(v.heard.empty()) << "its node still has time";
     rig.run(290);
@@ -840,7 +840,7 @@
     Viewer& v = rig.viewer();
     std::vector<core::SessionRecord> ends;
     rig.director->engine().on_end = [&](const core::SessionRecord& r) { ends.push_back(r); };
-    v.say(setup_line(1, "free one"));
+    v.say(make_set_up_line(1, "free one"));
     rig.run(2000);
     ASSERT_EQ(ends.size(), 1u);
     ASSERT_GE(ends[0].tries.size(), 2u);
@@ -855,10 +855,10 @@
     Viewer& v = rig.viewer();
     std::vector<core::SessionRecord> ends;
     rig.director->engine().on_end = [&](const core::SessionRecord& r) { ends.push_back(r); };
-    v.say(setup_line(1, "paid"));
-    v.say(setup_line(2, "paid"));
+    v.say(make_set_up_line(1, "paid"));
+    v.say(make_set_up_line(2, "paid"));
     rig.run(500);
-    v.say(release_line(1, 31));
+    v.say(make_release_line(1, 31));
     rig.run(100);
     rig.nodes[0]->links.back().send(Type::release, 2, 16);
     rig.run(100);
@@ -871,11 +871,11 @@
 TEST(Relay, ABadMomentOfANodeDoesNotEndItsSessions) {
     Rig rig;
     Viewer& v = rig.viewer();
-    v.say(setup_line(1, "paid"));
+    v.say(make_set_up_line(1, "paid"));
     rig.run(300);
     ASSERT_EQ(v.of(Type::answer).size(), 1u);
     rig.nodes[0]->listener->pause();
-    for (std::uint64_t id = 2; id <= 9; ++id) v.say(setup_line(id, "paid"));
+    for (std::uint64_t id = 2; id <= 9; ++id) v.say(make_set_up_line(id, "paid"));
     rig.run(400);
     rig.nodes[0]->listener->resume();
     rig.run(3000);
@@ -932,7 +932,7 @@
     std::vector<Viewer*> all;
     for (std::uint64_t id = 1; id <= 12; ++id) {
         all.push_back(&rig.viewer());
-        all.back()->say(setup_line(id, "free one", 1500));
+        all.back()->say(make_set_up_line(id, "free one", 1500));
     }
     rig.run(100);
     for (int k = 0; k < 40; ++k) rig.viewer();
@@ -946,17 +946,17 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer &v = rig.viewer(), &late = rig.viewer();
-    v.say(setup_line(1, "paid", 3000));
+    v.say(make_set_up_line(1, "paid", 3000));
     rig.run(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run(700);
-    late.say(setup_line(2, "paid", 3000));
+    late.say(make_set_up_line(2, "paid", 3000));
     rig.run(20);
     EXPECT_EQ(rig.director->engine().counts().taken, 2u) << "taken for 0.75 s";
     rig.run(100);
     const auto before = late.heard.size();
-    late.say(setup_line(3, "paid", 3000));
+    late.say(make_set_up_line(3, "paid", 3000));
     rig.run(20);
     EXPECT_EQ(rig.director->engine().counts().taken, 2u);
     ASSERT_EQ(late.heard.size(), before + 1);
@@ -1023,13 +1023,13 @@
         const bool paid = draw(2) != 0;
         switch (draw(16)) {
             case 0:
-                v.say(release_line(1 + draw(static_cast<unsigned>(next)), 31));  // anyone's
+                v.say(make_release_line(1 + draw(static_cast<unsigned>(next)), 31));  // anyone's
                 for (auto& [id, one] : asked) one.left = one.left || one.viewer == &v;
                 break;
             case 1: {
                 Viewer& rude = rig.viewer();
                 rude.say(noise());
-                rude.say(setup_line(1 + draw(static_cast<unsigned>(next)), "paid"));
+                rude.say(make_set_up_line(1 + draw(static_cast<unsigned>(next)), "paid"));
                 break;
             }
             case 2:
@@ -1049,7 +1049,7 @@
                 }
                 break;
             default:
-                v.say(setup_line(next, paid ? "paid" : "free one", 2000));
+                v.say(make_set_up_line(next, paid ? "paid" : "free one", 2000));
                 asked[next++] = {&v, rig.world.now() + 2100};
         }
         rig.run(draw(40));
@@ -1067,7 +1067,7 @@
         // Who released what is another's open set-up has had its connection closed.
         EXPECT_TRUE(one.left || !one.viewer->open || answers + releases > 0) << id << " is lost";
     }
-    EXPECT_EQ(rig.director->front().open(), 0u);
+    EXPECT_EQ(rig.director->front().pending_set_ups(), 0u);
     EXPECT_EQ(rig.director->engine().owed(), 0u);
     EXPECT_LE(rig.director->nodes().connections(), 24u);
 }
@@ -1091,7 +1091,7 @@
 }
 
 TEST(RelayConfig, FaultsNameTheirPlace) {
-    const std::string good = config_text({{"s-0", {"127.0.0.1", 9001}}}, "127.0.0.1:5300");
+    const std::string good = make_director_config({{"s-0", {"127.0.0.1", 9001}}}, "127.0.0.1:5300");
     const config::RelayConfig c = config::read_relay_config(good);
     EXPECT_EQ(c.classes[1], "free one");
     EXPECT_EQ(c.settings.classes[1].name, "free_one");
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -109,15 +109,15 @@
     }
 };
 
-struct Listed {
+struct ListedNode {
     std::string uid;
     io::Address address;
     std::string state = "ready";
 };
 
 // A DNS answer with these nodes, for the query given.
-inline std::string dns_answer(std::string_view query, std::uint32_t serial,
-                              const std::vector<Listed>& nodes) {
+inline std::string make_dns_response(std::string_view query, std::uint32_t serial,
+                                     const std::vector<ListedNode>& nodes) {
     ldns_pkt* asked = nullptr;
     if (ldns_wire2pkt(&asked, reinterpret_cast<const std::uint8_t*>(query.data()), query.size())) return "";
     ldns_pkt* p = ldns_pkt_new();
@@ -129,7 +129,7 @@
         ASSERT_EQ(ldns_rr_new_frm_str(&rr, text.c_str(), 0, nullptr, nullptr), LDNS_STATUS_OK) << text;
         ldns_pkt_push_rr(p, section, rr);
     };
-    for (const Listed& n : nodes) {
+    for (const ListedNode& n : nodes) {
         const std::string host = n.uid + ".room.hosts.";
         put(LDNS_SECTION_ANSWER, "_api._tcp.svc.local. 5 IN SRV " +
                                      std::string(n.state == "ready" ? "0" : "1") + " 40 " +
@@ -152,16 +152,16 @@
 struct NameServer {
     std::unique_ptr<io::Datagram> socket;
     std::uint32_t serial;
-    std::vector<Listed> nodes;
+    std::vector<ListedNode> nodes;
     int asked = 0;
     std::function<std::string(std::string)> spoil;  // of an answer's bytes
     double delay = 0;                               // of its answers; less than 0: none comes
     std::list<io::Timer> late;
-    NameServer(io::Loop& loop, const io::Address& at, std::uint32_t n, std::vector<Listed> list)
+    NameServer(io::Loop& loop, const io::Address& at, std::uint32_t n, std::vector<ListedNode> list)
         : serial(n), nodes(std::move(list)) {
         socket = loop.datagram(at, [this, &loop](const io::Address& from, std::string_view query) {
             asked += 1;
-            std::string answer = dns_answer(query, serial, nodes);
+            std::string answer = make_dns_response(query, serial, nodes);
             if (spoil) answer = spoil(answer);
             if (answer.empty() || delay < 0) return;
             late.push_back(loop.after(delay, [this, from, answer] { socket->send(from, answer); }));
@@ -170,10 +170,10 @@
 };
 
 // `cold_ms`: how long a node that has started takes set-ups at a slow pace only; 0: no such rule.
-inline std::string config_text(const std::vector<Listed>& nodes, const std::string& dns, int sockets = 256,
-                               int cold_ms = 0) {
+inline std::string make_director_config(const std::vector<ListedNode>& nodes, const std::string& dns,
+                                        int sockets = 256, int cold_ms = 0) {
     std::string targets;
-    for (const Listed& n : nodes)
+    for (const ListedNode& n : nodes)
         targets += std::string(targets.empty() ? "" : ",") + R"({"uid":")" + n.uid + R"(","endpoint":")" +
                    n.address.text() + R"(","az":"room","model":"std","pod_group":2,"state":")" + n.state +
                    R"(","capacity_hint":4,"boot_ms":0})";
@@ -202,14 +202,15 @@
             "class_live":[false,false],"rate_factor":[1.0,1.0],"top_by_class":[1,1],"licence_cap":[0,0]}}})";
 }
 
-inline std::string setup_line(std::uint64_t id, const std::string& cls, int left = 4000,
-                              const std::string& extras = "home:0;copies:12;top:1;viewer:00000000b4d65521",
-                              const std::string& more = "") {
+inline std::string make_set_up_line(
+    std::uint64_t id, const std::string& cls, int left = 4000,
+    const std::string& extras = "home:0;copies:12;top:1;viewer:00000000b4d65521",
+    const std::string& more = "") {
     return R"({"type":"setup","id":")" + relay::hex(id) + R"(","fields":{"class":")" + cls + R"(","left":")" +
            std::to_string(left) + R"(","tenant":"acme","key":"7f3a9c21e0b4d655","extras":")" + extras + "\"" +
            more + R"(},"sdp":"offer )" + relay::hex(id) + "\"}";
 }
-inline std::string release_line(std::uint64_t id, int cause) {
+inline std::string make_release_line(std::uint64_t id, int cause) {
     return R"({"type":"release","id":")" + relay::hex(id) + R"(","fields":{},"cause":)" +
            std::to_string(cause) + "}";
 }
@@ -217,7 +218,7 @@
 struct Rig {
     io::World world{11};
     const io::Address dns{"127.0.0.1", 5300}, at{"127.0.0.1", 5060};
-    std::vector<Listed> listed;
+    std::vector<ListedNode> listed;
     io::VirtualLoop& names_loop = world.start("names");
     io::VirtualLoop& nodes_loop = world.start("nodes");
     io::VirtualLoop& viewers_loop = world.start("viewers");
@@ -234,7 +235,7 @@
         }
         names = std::make_unique<NameServer>(names_loop, dns, 3, listed);
         director = std::make_unique<cli::RelayProcess>(
-            loop, config::read_relay_config(config_text(listed, dns.text(), sockets, cold_ms)), "");
+            loop, config::read_relay_config(make_director_config(listed, dns.text(), sockets, cold_ms)), "");
     }
     ~Rig() {
         viewers.clear();
@@ -244,7 +245,7 @@
     }
     Viewer& viewer() { return viewers.emplace_back(viewers_loop, at); }
     void run(double ms) { world.run_until(world.now() + ms); }
-    void list(std::vector<Listed> now) {
+    void list(std::vector<ListedNode> now) {
         names->nodes = std::move(now);
         names->serial += 1;
         run(600);
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -28,7 +28,7 @@
         for (const auto& item : all) text += (text.empty() ? "" : ",") + one(item);
         return text;
     };
-    std::string text = config_text({{"s-0", {"127.0.0.1", 9001}}}, "127.0.0.1:5300", 256, 8000);
+    std::string text = make_director_config({{"s-0", {"127.0.0.1", 9001}}}, "127.0.0.1:5300", 256, 8000);
     const auto put = [&](const std::string& key, const std::string& value) {
         const std::size_t at = text.find("\"" + key + "\":[");
         ASSERT_NE(at, std::string::npos) << key;
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -108,8 +108,9 @@
     }
     std::string line_of(const Request& request) const {
         const Time left = std::max<Time>(1, request.sent + request.patience - loop_.now());
-        return relaytest::setup_line(request.id, request.cls == RequestClass::paid ? "paid" : "free one",
-                                     static_cast<int>(left)) +
+        return relaytest::make_set_up_line(request.id,
+                                           request.cls == RequestClass::paid ? "paid" : "free one",
+                                           static_cast<int>(left)) +
                "\n";
     }
     void send_set_up(Link& link) {
@@ -134,7 +135,7 @@
             if (!link->stream || !link->pending.erase(id)) continue;
             request->cancelled = loop_.now();
             ledger_.word(id, "cancelled on connection " + std::to_string(link->number), loop_.now());
-            link->stream->write(relaytest::release_line(id, relay::kCauseGivenUp) + "\n");
+            link->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
             return;
         }
     }
@@ -146,7 +147,7 @@
             if (!link->stream || !link->up) continue;
             request->hung_up = true;
             ledger_.word(id, "hung up on connection " + std::to_string(link->number), loop_.now());
-            link->stream->write(relaytest::release_line(id, relay::kCauseGivenUp) + "\n");
+            link->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
             return;
         }
     }
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -78,7 +78,7 @@
     struct Seat {
         std::unique_ptr<DirectorProcess> director;
         std::unique_ptr<ClientPool> clients;
-        std::vector<relaytest::Listed> listed;  // the media nodes, at the addresses set aside for it
+        std::vector<relaytest::ListedNode> listed;  // the media nodes, at the addresses set aside for it
         std::vector<std::unique_ptr<relaytest::NameServer>> names;
         std::size_t asked_names = 0;  // which of them it is told to ask
         io::Timer watch, ready;
@@ -106,8 +106,8 @@
         }
     }
     static std::string config(const Seat& seat) {
-        std::string text =
-            relaytest::config_text(seat.listed, seat.names[seat.asked_names]->socket->address().text());
+        std::string text = relaytest::make_director_config(
+            seat.listed, seat.names[seat.asked_names]->socket->address().text());
         // Room for more sessions than the other tests need.
         const auto set = [&](const std::string& from, const std::string& to) {
             text.replace(text.find(from), from.size(), to);
