--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -13,16 +13,18 @@
 
 namespace {
 
-constexpr const char* kService = "_api._tcp.svc.local";
-constexpr io::Time kLookEvery = 20;
-constexpr io::Time kStatusEvery = 5000;
-constexpr io::Time kConfirmEvery = 1000;
-// Bad set-ups are told one by one up to here, then only counted: who sends them does not write our log.
-constexpr int kMostBadTold = 20;
-constexpr std::size_t kOldNames = 64;  // of nodes that are gone, for the log
+constexpr const char* kServiceName = "_api._tcp.svc.local";  // the SRV record with the list of media nodes
+// Intervals in ms.
+constexpr io::Time kShutdownCheckInterval = 20;
+constexpr io::Time kStatusInterval = 5000;
+constexpr io::Time kFullListInterval = 1000;
+// Invalid set-ups beyond this number are counted but not logged, so that a faulty client can't fill the log.
+constexpr int kMaxLoggedInvalidSetUps = 20;
+constexpr std::size_t kRetainedNodeNames = 64;  // of nodes that left the list, for the log
 
-// Alike at every director: a node is its id, not its address.
-ServerId server_of(const std::string& uid) { return XXH64(uid.data(), uid.size(), 0); }
+// Hashes a node's uid, so that every director uses the same id for it. The address is not part of it: a node
+// is identified by its uid alone.
+ServerId make_server_id(const std::string& uid) { return XXH64(uid.data(), uid.size(), 0); }
 
 }  // namespace
 
@@ -48,13 +50,14 @@
               return limits;
           }(),
           engine_),
-      clock_(loop.now() - loop.wall_ms()),
-      list_(loop, config.dns, kService, config.known,
-            {[this](const discovery::Members& all) { listed(all); }, [this] { confirmed(); }}),
+      unix_to_loop_(loop.now() - loop.wall_ms()),
+      srv_poller_(
+          loop, config.dns, kServiceName, config.known,
+          {[this](const discovery::Members& members) { update_list(members); }, [this] { confirm_list(); }}),
       members_(config.members) {
     nodes_.attach(&engine_);
-    know();
-    engine_.on_end = [this](const core::SessionRecord& r) { ended(r); };
+    update_nodes();
+    engine_.on_end = [this](const core::SessionRecord& record) { log_session(record); };
     engine_.on_remark = [this](const std::string& text) {
         log_event(log::Level::info, "module", {{"text", text}});
     };
@@ -69,17 +72,17 @@
     };
     front_.find_node = [this](const std::string& uid) -> std::optional<ServerId> {
         if (!members_.count(uid)) return std::nullopt;
-        return server_of(uid);
+        return make_server_id(uid);
     };
     front_.adopt_session = [this](const core::Ask& ask, ServerId server) {
         if (!engine_.adopt(ask, server)) return false;
         nodes_.adopt(server, *ask.number, 0);
         return true;
     };
-    front_.on_invalid_set_up = [this](const std::string& why, const relay::ViewerMessage& m) {
-        if (bad_told_ >= kMostBadTold) return;
-        bad_told_ += 1;
-        log_event(log::Level::warning, "bad set-up", {{"why", why}, {"fields", m.fields}});
+    front_.on_invalid_set_up = [this](const std::string& why, const relay::ViewerMessage& message) {
+        if (logged_invalid_set_ups_ >= kMaxLoggedInvalidSetUps) return;
+        logged_invalid_set_ups_ += 1;
+        log_event(log::Level::warning, "bad set-up", {{"why", why}, {"fields", message.fields}});
     };
     front_.on_connection_closed = [this](const fronts::ClosedConnection& closed) {
         json line = {{"connection", closed.number},
@@ -88,14 +91,14 @@
         if (closed.since_last_answer) line["since_answer_ms"] = *closed.since_last_answer;
         log_event(log::Level::info, "client connection closed", line);
     };
-    front_.on_first_set_up = [this] { begin(); };
+    front_.on_first_set_up = [this] { start_engine(); };
     log_event(log::Level::info, "started",
               {{"listen", front_.address().text()}, {"list", config.dns.text()}, {"nodes", members_.size()}});
-    status_timer_ = loop_.after(kStatusEvery, [this] { tell_status(); });
+    status_timer_ = loop_.after(kStatusInterval, [this] { log_status(); });
 }
-void RelayProcess::tell_status() {
+void RelayProcess::log_status() {
     log_event(log::Level::info, "status", status());
-    status_timer_ = loop_.after(kStatusEvery, [this] { tell_status(); });
+    status_timer_ = loop_.after(kStatusInterval, [this] { log_status(); });
 }
 RelayProcess::~RelayProcess() {
     engine_.on_end = nullptr;
@@ -110,173 +113,177 @@
     log_.write(level, loop_.wall_ms(), event, fields);
 }
 
-// The module comes to life with the first set-up, list and set-ups of the start in one moment, as in the
-// simulator: it takes sessions handed over with its birth as a sign that the whole day begins.
-void RelayProcess::begin() {
-    began_ = true;
+// Passes the saved list to the engine, just before the first set-up. The decision module thus receives its
+// first list and its first set-ups at the same moment, as in the simulator: it takes sessions that are handed
+// over at its start as a sign that the whole day begins.
+void RelayProcess::start_engine() {
+    engine_started_ = true;
     ServerList list;
     list.kind = ListKind::saved;
-    for (const auto& [uid, member] : members_) list.entries.push_back(entry_of(member));
+    for (const auto& [uid, member] : members_) list.entries.push_back(make_entry(member));
     engine_.take_list(list);
 }
 
-ServerEntry RelayProcess::entry_of(const discovery::Member& m) const {
-    const auto index = [](const std::vector<std::string>& names, const std::string& name) {
+ServerEntry RelayProcess::make_entry(const discovery::Member& member) const {
+    const auto find_index = [](const std::vector<std::string>& names, const std::string& name) {
         const auto it = std::find(names.begin(), names.end(), name);
         return it == names.end() ? 0 : static_cast<int>(it - names.begin());
     };
-    ServerEntry e;
-    e.id = server_of(m.uid);
-    e.position = m.cell;
-    e.weight = m.weight;
-    // From Unix time to the loop's clock, always by the same difference: a start that moved by a hair would
-    // be a new start.
-    if (m.started_unix_ms > 0) e.last_start = std::max(1.0, m.started_unix_ms + clock_);
-    e.zone = index(config_.zones, m.zone);
-    e.kind = index(config_.kinds, m.kind);
-    e.state = m.state;
-    return e;
+    ServerEntry entry;
+    entry.id = make_server_id(member.uid);
+    entry.position = member.cell;
+    entry.weight = member.weight;
+    // Converted with an offset that never changes: a start time that differed only slightly from the last
+    // list would be taken for a restart of the node.
+    if (member.started_unix_ms > 0) entry.last_start = std::max(1.0, member.started_unix_ms + unix_to_loop_);
+    entry.zone = find_index(config_.zones, member.zone);
+    entry.kind = find_index(config_.kinds, member.kind);
+    entry.state = member.state;
+    return entry;
 }
 
-void RelayProcess::know() {
-    std::map<ServerId, nodes::RelayNode> known;
-    for (const auto& [uid, m] : members_) {
-        const ServerId id = server_of(uid);
-        known[id] = {uid, m.address, m.state == ServerState::ready};
-        if (!names_.emplace(id, uid).second) continue;
-        named_.push_back(id);
+void RelayProcess::update_nodes() {
+    std::map<ServerId, nodes::RelayNode> nodes;
+    for (const auto& [uid, member] : members_) {
+        const ServerId id = make_server_id(uid);
+        nodes[id] = {uid, member.address, member.state == ServerState::ready};
+        if (!node_names_.emplace(id, uid).second) continue;
+        node_name_order_.push_back(id);
     }
-    // Sessions of nodes that are gone end a little later; all day long names would only pile up.
-    while (named_.size() > known.size() + kOldNames) {
-        if (known.count(named_.front())) named_.push_back(named_.front());
-        else names_.erase(named_.front());
-        named_.pop_front();
+    // Sessions of removed nodes end a little later, so some of their names are kept for the log; the number
+    // is bounded, since names would otherwise pile up all day.
+    while (node_name_order_.size() > nodes.size() + kRetainedNodeNames) {
+        if (nodes.count(node_name_order_.front())) node_name_order_.push_back(node_name_order_.front());
+        else node_names_.erase(node_name_order_.front());
+        node_name_order_.pop_front();
     }
-    nodes_.know(known);
+    nodes_.know(nodes);
 }
 
-// A whole list comes; the module hears what has changed, as in the simulator.
-void RelayProcess::listed(const discovery::Members& all) {
+// Takes a new list. The engine is told only the changes, as in the simulator.
+void RelayProcess::update_list(const discovery::Members& members) {
     ServerList changes;
     changes.kind = ListKind::changes;
-    for (const auto& [uid, m] : all) {
+    for (const auto& [uid, member] : members) {
         const auto it = members_.find(uid);
-        if (it == members_.end() || !(it->second == m)) changes.entries.push_back(entry_of(m));
+        if (it == members_.end() || !(it->second == member)) changes.entries.push_back(make_entry(member));
     }
-    for (const auto& [uid, m] : members_) {
-        if (all.count(uid)) continue;
-        ServerEntry e = entry_of(m);
-        e.state = ServerState::gone;
-        changes.entries.push_back(e);
+    for (const auto& [uid, member] : members_) {
+        if (members.count(uid)) continue;
+        ServerEntry entry = make_entry(member);
+        entry.state = ServerState::gone;
+        changes.entries.push_back(entry);
     }
-    members_ = all;
-    know();
-    if (began_ && !changes.entries.empty()) engine_.take_list(changes);
-    log_event(log::Level::info, "list", {{"nodes", all.size()}, {"changed", changes.entries.size()}});
+    members_ = members;
+    update_nodes();
+    if (engine_started_ && !changes.entries.empty()) engine_.take_list(changes);
+    log_event(log::Level::info, "list", {{"nodes", members.size()}, {"changed", changes.entries.size()}});
 }
 
-// The same list again is news too: it is whole and of this moment, where the one of the start may be old.
-void RelayProcess::confirmed() {
-    if (!began_ || loop_.now() - confirmed_ < kConfirmEvery) return;
-    confirmed_ = loop_.now();
+// The name server has confirmed the list. The engine is given the whole list again, at most once per
+// kFullListInterval: it is known to be current, while the saved list of the start may be old.
+void RelayProcess::confirm_list() {
+    if (!engine_started_ || loop_.now() - full_list_at_ < kFullListInterval) return;
+    full_list_at_ = loop_.now();
     ServerList list;
     list.kind = ListKind::full;
-    for (const auto& [uid, member] : members_) list.entries.push_back(entry_of(member));
+    for (const auto& [uid, member] : members_) list.entries.push_back(make_entry(member));
     engine_.take_list(list);
 }
 
 void RelayProcess::reload(const config::RelayConfig& config) {
     config_.dns = config.dns;
-    list_.set_server(config.dns);
+    srv_poller_.set_server(config.dns);
     log_event(log::Level::info, "reloaded", {{"list", config.dns.text()}});
 }
 
 void RelayProcess::stop(std::function<void()> done) {
     if (shutdown_) return;
-    done_ = std::move(done);
+    on_stopped_ = std::move(done);
     shutdown_.emplace(config_.settings, loop_.now());
     engine_.answer_by(shutdown_->answer_by());
     front_.begin_shutdown(*shutdown_);
     log_event(log::Level::info, "stopping", {{"owed", engine_.owed()}});
-    stopping();
+    continue_shutdown();
 }
-void RelayProcess::stopping() {
+void RelayProcess::continue_shutdown() {
     front_.end_drained_connections();
-    const decide::Unfinished left{engine_.owed(), !front_.has_sent_all_output() || !nodes_.drained(),
-                                  front_.connection_count(), front_.last_received_at()};
-    if (!shutdown_->leaves(loop_.now(), left)) {
-        stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
+    const decide::Unfinished unfinished{engine_.owed(), !front_.has_sent_all_output() || !nodes_.drained(),
+                                        front_.connection_count(), front_.last_received_at()};
+    if (!shutdown_->leaves(loop_.now(), unfinished)) {
+        stop_timer_ = loop_.after(kShutdownCheckInterval, [this] { continue_shutdown(); });
         return;
     }
-    // Our ends follow the last words; the process leaves once they are out.
+    // Connections are ended after their remaining output; the process exits once that has been handed over.
     front_.end_all_connections();
     nodes_.end_all();
     log_event(log::Level::info, "stopped", status());
-    loop_.post([this] { done_(); });
+    loop_.post([this] { on_stopped_(); });
 }
 
-void RelayProcess::ended(const core::SessionRecord& r) {
-    json line = session_line(r, [this](ServerId id) {
-        const auto it = names_.find(id);
-        return it == names_.end() ? relay::hex(id) : it->second;
+void RelayProcess::log_session(const core::SessionRecord& record) {
+    json line = session_line(record, [this](ServerId id) {
+        const auto it = node_names_.find(id);
+        return it == node_names_.end() ? relay::hex(id) : it->second;
     });
-    line["id"] = relay::hex(r.id);
-    line["class"] = config_.classes[static_cast<std::size_t>(r.ask.cls)];
+    line["id"] = relay::hex(record.id);
+    line["class"] = config_.classes[static_cast<std::size_t>(record.ask.cls)];
     log_event(log::Level::info, "session", line);
 }
 
 json RelayProcess::status() const {
-    const core::Counts& e = engine_.counts();
-    const fronts::RelayFrontCounts& f = front_.counts();
-    const nodes::RelayCounts& n = nodes_.counts();
-    const discovery::SrvCounts& d = list_.counts();
+    const core::Counts& engine = engine_.counts();
+    const fronts::RelayFrontCounts& front = front_.counts();
+    const nodes::RelayCounts& nodes = nodes_.counts();
+    const discovery::SrvCounts& list = srv_poller_.counts();
     json closed = json::object();
-    for (std::size_t k = 0; k < fronts::kCloseReasons; ++k)
-        if (f.closed[k] > 0) closed[fronts::name(static_cast<fronts::CloseReason>(k))] = f.closed[k];
+    for (std::size_t reason = 0; reason < fronts::kCloseReasons; ++reason)
+        if (front.closed[reason] > 0)
+            closed[fronts::name(static_cast<fronts::CloseReason>(reason))] = front.closed[reason];
     return {{"sessions",
-             {{"taken", e.taken},
-              {"played", e.played},
-              {"refused", e.refused},
-              {"failed", e.failed},
-              {"abandoned", e.abandoned},
-              {"late", e.late},
-              {"attempts", e.attempts},
-              {"retried", e.retries},
-              {"lost", e.reset},
-              {"slips", e.slips},
-              {"ends_crossing_answers", e.ends_crossing_answers},
+             {{"taken", engine.taken},
+              {"played", engine.played},
+              {"refused", engine.refused},
+              {"failed", engine.failed},
+              {"abandoned", engine.abandoned},
+              {"late", engine.late},
+              {"attempts", engine.attempts},
+              {"retried", engine.retries},
+              {"lost", engine.reset},
+              {"slips", engine.slips},
+              {"ends_crossing_answers", engine.ends_crossing_answers},
               {"open", engine_.open_sessions()},
               {"playing", engine_.playing()}}},
             {"viewers",
              {{"connections", front_.connection_count()},
-              {"set_ups", f.set_ups},
+              {"set_ups", front.set_ups},
               {"closed", closed},
-              {"unreadable", f.unreadable},
-              {"bad", f.bad},
-              {"repeated", f.repeated},
-              {"shed", f.shed},
-              {"turned_away", f.turned_away},
-              {"gave_up", f.gave_up},
-              {"hung_up", f.hung_up},
-              {"releases", f.releases},
-              {"unknown_releases", f.unknown_releases}}},
+              {"unreadable", front.unreadable},
+              {"bad", front.bad},
+              {"repeated", front.repeated},
+              {"shed", front.shed},
+              {"turned_away", front.turned_away},
+              {"gave_up", front.gave_up},
+              {"hung_up", front.hung_up},
+              {"releases", front.releases},
+              {"unknown_releases", front.unknown_releases}}},
             {"nodes",
              {{"connections", nodes_.connections()},
-              {"dials", n.dials},
-              {"tests", n.tests},
-              {"spoilt", n.spoilt},
-              {"resets", n.resets},
-              {"stray", n.stray},
-              {"shared", n.shared},
-              {"vanished", n.vanished}}},
+              {"dials", nodes.dials},
+              {"tests", nodes.tests},
+              {"spoilt", nodes.spoilt},
+              {"resets", nodes.resets},
+              {"stray", nodes.stray},
+              {"shared", nodes.shared},
+              {"vanished", nodes.vanished}}},
             {"list",
-             {{"asked", d.asked},
-              {"taken", d.taken},
-              {"same", d.same},
-              {"bad", d.bad},
-              {"older", d.older},
-              {"unanswered", d.unanswered},
-              {"fault", list_.last_error()}}}};
+             {{"asked", list.asked},
+              {"taken", list.taken},
+              {"same", list.same},
+              {"bad", list.bad},
+              {"older", list.older},
+              {"unanswered", list.unanswered},
+              {"fault", srv_poller_.last_error()}}}};
 }
 
 }  // namespace ivyfield::cli
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -15,13 +15,16 @@
 
 namespace {
 
-// Causes of our own releases: the first tells that trying again is harmless, the others are failures.
-constexpr int kRefused = relay::kCauseFull, kFailed = relay::kCauseError, kUnusable = 100, kOver = 16;
-constexpr io::Time kSweep = 250;
-
-std::optional<int> whole(const std::string& text, int least, int most) {
+// Causes of the releases that the director sends. kCauseRefused tells the client that a retry is safe; the
+// others report a failure.
+constexpr int kCauseRefused = relay::kCauseFull, kCauseFailed = relay::kCauseError, kCauseUnusable = 100,
+              kCauseSessionOver = 16;
+constexpr io::Time kSweepInterval = 250;  // ms
+
+// Parses a whole number in [min, max]; nothing if the text is anything else.
+std::optional<int> parse_integer(const std::string& text, int min, int max) {
     const auto value = relay::read_number(text);
-    if (!value || *value != std::floor(*value) || *value < least || *value > most) return std::nullopt;
+    if (!value || *value != std::floor(*value) || *value < min || *value > max) return std::nullopt;
     return static_cast<int>(*value);
 }
 
@@ -53,92 +56,96 @@
     return "?";
 }
 
+// One client connection. It outlives its removal until the event loop's next turn, because it may be in a
+// callback when it is removed.
 struct RelayFront::Connection : io::StreamHandler {
     RelayFront& owner;
     std::unique_ptr<io::Stream> stream;
     relay::LineDecoder decoder;
-    std::set<SessionId> open;      // set-ups owed an answer on it
-    std::set<SessionId> standing;  // sessions that were set up on it and stand
-    bool carried = false;          // a set-up that could be used has come on it
-    bool tested = false;           // it has passed a test
-    bool ending = false;           // only drained and closed from here on
-    bool distrusted = false;       // takes no set-up any more; closed when those open on it are answered
-    bool unread = false;           // its viewer does not read what it is sent
-    struct Told {
-        io::Time when;
-        Notification end;
+    std::set<SessionId> pending_set_ups;  // set-ups to be answered on it
+    std::set<SessionId> established;      // sessions set up on it and not yet ended
+    bool received_valid_set_up = false;   // a well-formed set-up has been received on it
+    bool received_ping = false;           // a ping has been received and answered on it
+    bool closing = false;                 // our end has been sent; input is discarded
+    bool rejects_set_ups = false;    // after a repeated session number; closed once nothing is pending on it
+    bool output_overflowed = false;  // the client does not read; about to be dropped
+    struct SentNotification {
+        io::Time sent_at;
+        Notification notification;
     };
-    std::deque<Told> told;  // ends told on it a moment ago: they may have crossed its close
-    bool gone = false;
-    bool accounted = false;  // the reason of its close has been counted
-    std::uint64_t number = 0;
-    std::optional<io::Time> answered;  // when the last answer was written on it
-    bool requested = false;            // a message has come on it
-    io::Time accepted = 0, used = 0, ended = 0;
-
-    explicit Connection(RelayFront& o) : owner(o) {}
-    void on_data(std::string_view bytes) override { owner.heard(*this, bytes); }
-    // Viewers close as a whole: one that sends no more waits for nothing more.
-    void on_end() override { owner.closed_by_client(*this, CloseReason::client_end); }
+    // Sent so recently that they may cross the close of this connection; sent again elsewhere in that case.
+    std::deque<SentNotification> recent_notifications;
+    bool removed = false;
+    bool close_counted = false;
+    std::uint64_t number = 0;  // in the order of acceptance, from 1
+    std::optional<io::Time> last_answered_at;
+    bool received_data = false;
+    io::Time accepted_at = 0, last_used_at = 0, closing_since = 0;
+
+    explicit Connection(RelayFront& front) : owner(front) {}
+    void on_data(std::string_view bytes) override { owner.handle_data(*this, bytes); }
+    // Clients never half-close: one that has ended its side no longer waits for answers.
+    void on_end() override { owner.handle_client_close(*this, CloseReason::client_end); }
     void on_drained() override {}
-    void on_closed(io::Closing) override { owner.closed_by_client(*this, CloseReason::client_reset); }
+    void on_closed(io::Closing) override { owner.handle_client_close(*this, CloseReason::client_reset); }
 };
 
+// A set-up that waits for its answer.
 struct RelayFront::Request : core::Waiter {
     RelayFront& owner;
     SessionId session;
-    std::string id;  // as the viewer wrote it
+    std::string id_text;  // the session number as the client wrote it
     Connection* connection;
 
-    Request(RelayFront& o, SessionId s, std::string text, Connection* c)
-        : owner(o), session(s), id(std::move(text)), connection(c) {}
+    Request(RelayFront& front, SessionId number, std::string text, Connection* from)
+        : owner(front), session(number), id_text(std::move(text)), connection(from) {}
     void plays(const core::Placement& where) override {
-        ViewerMessage m;
-        m.type = Type::answer, m.id = id, m.sdp = where.media.description;
-        Connection* c = connection;
-        owner.answered(session);
-        owner.standing_[session] = {c, owner.loop_.now()};
-        c->standing.insert(session);
-        c->answered = owner.loop_.now();
-        owner.send(*c, m);
-        owner.close_if_done(*c);
+        ViewerMessage message;
+        message.type = Type::answer, message.id = id_text, message.sdp = where.media.description;
+        Connection* client = connection;
+        owner.finish_request(session);
+        owner.established_[session] = {client, owner.loop_.now()};
+        client->established.insert(session);
+        client->last_answered_at = owner.loop_.now();
+        owner.send_message(*client, message);
+        owner.close_if_done(*client);
     }
     void refused(Time retry_after) override {
-        Connection* c = connection;
-        const std::string text = id;
-        owner.answered(session);
-        owner.release(*c, text, kRefused, retry_after);
-        owner.close_if_done(*c);
+        Connection* client = connection;
+        const std::string text = id_text;
+        owner.finish_request(session);
+        owner.send_release(*client, text, kCauseRefused, retry_after);
+        owner.close_if_done(*client);
     }
     void failed() override {
-        Connection* c = connection;
-        const std::string text = id;
-        owner.answered(session);
-        owner.release(*c, text, kFailed);
-        owner.close_if_done(*c);
+        Connection* client = connection;
+        const std::string text = id_text;
+        owner.finish_request(session);
+        owner.send_release(*client, text, kCauseFailed);
+        owner.close_if_done(*client);
     }
 };
 
 RelayFront::RelayFront(io::Loop& loop, const io::Address& listen, const Settings& settings,
                        const RelayNames& names, const RelayFrontLimits& limits, core::Engine& engine)
     : loop_(loop), settings_(settings), names_(names), limits_(limits), engine_(engine) {
-    listener_ = loop.listen(listen, [this](auto stream) { accepted(std::move(stream)); });
-    sweep_ = loop_.after(kSweep, [this] { sweep(); });
+    listener_ = loop.listen(listen, [this](auto stream) { accept_connection(std::move(stream)); });
+    sweep_timer_ = loop_.after(kSweepInterval, [this] { sweep(); });
 }
 RelayFront::~RelayFront() {
-    // One that leaves may have others answered.
+    // Abandoning one request may cause the engine to answer others, so the map is read anew each time.
     while (!requests_.empty()) {
         const SessionId id = requests_.begin()->first;
         engine_.leave(id, requests_.begin()->second.get());
-        answered(id);
+        finish_request(id);
     }
 }
 
 // ---- Connections ----
 
-void RelayFront::accepted(std::unique_ptr<io::Stream> stream) {
+void RelayFront::accept_connection(std::unique_ptr<io::Stream> stream) {
     last_received_at_ = loop_.now();
-    if (!make_room()) {  // closed with nothing sent on it: nothing has been taken by it
+    if (!make_room()) {  // closed without sending anything: the client knows that nothing was accepted
         counts_.turned_away += 1;
         return;
     }
@@ -146,7 +153,7 @@
     auto owned = std::make_unique<Connection>(*this);
     owned->stream = std::move(stream);
     owned->number = counts_.connections;
-    owned->accepted = owned->used = loop_.now();
+    owned->accepted_at = owned->last_used_at = loop_.now();
     owned->stream->set_handler(owned.get());
     connections_.push_back(std::move(owned));
 }
@@ -154,445 +161,464 @@
 bool RelayFront::make_room() {
     while (connections_.size() >= limits_.intake.connections) {
         std::vector<Connection*> connections;
-        std::vector<decide::Held> held;
-        for (const auto& c : connections_) {
-            connections.push_back(c.get());
-            held.push_back({c->open.size(), c->carried, c->used});
+        std::vector<decide::Held> states;
+        for (const auto& connection : connections_) {
+            connections.push_back(connection.get());
+            states.push_back({connection->pending_set_ups.size(), connection->received_valid_set_up,
+                              connection->last_used_at});
         }
-        const auto candidate = decide::gives_way(held);
-        if (!candidate) return false;
-        evict(*connections[*candidate]);
+        const auto index = decide::gives_way(states);
+        if (!index) return false;
+        evict(*connections[*index]);
     }
     return true;
 }
 
-// A request that has arrived is taken first; the connection stays then. What was written still leaves: a
-// stream that has been ended is not reset when it is destroyed.
-void RelayFront::evict(Connection& c) {
-    c.stream->receive_arrived();
-    if (c.gone || !c.open.empty()) return;
-    c.stream->end();
+// Reads what has already arrived first; if that includes a set-up, the connection stays. Output already
+// written is still sent: a stream that has been ended is not reset when it is destroyed.
+void RelayFront::evict(Connection& connection) {
+    connection.stream->receive_arrived();
+    if (connection.removed || !connection.pending_set_ups.empty()) return;
+    connection.stream->end();
     counts_.shed += 1;
-    drop(c, CloseReason::evicted);
+    remove_connection(connection, CloseReason::evicted);
 }
 
-// To be called before what is open on the connection is given up.
-void RelayFront::account_for_close(Connection& c, CloseReason reason) {
-    if (std::exchange(c.accounted, true)) return;
+// Counts and reports the close, once per connection. Must be called before the pending set-ups are abandoned,
+// since it reports how many there are.
+void RelayFront::record_close(Connection& connection, CloseReason reason) {
+    if (std::exchange(connection.close_counted, true)) return;
     counts_.closed[static_cast<std::size_t>(reason)] += 1;
-    ClosedConnection closed{c.number, reason, c.open.size(), std::nullopt};
-    if (c.answered) closed.since_last_answer = loop_.now() - *c.answered;
+    ClosedConnection closed{connection.number, reason, connection.pending_set_ups.size(), std::nullopt};
+    if (connection.last_answered_at) closed.since_last_answer = loop_.now() - *connection.last_answered_at;
     const bool crosses_answer =
         closed.since_last_answer && decide::may_have_crossed(*closed.since_last_answer);
     if (on_connection_closed && (closed.pending_set_ups > 0 || crosses_answer)) on_connection_closed(closed);
 }
 
-void RelayFront::closed_by_client(Connection& c, CloseReason reason) {
-    account_for_close(c, reason);
-    leave_all(c);
-    drop(c, reason);
+void RelayFront::handle_client_close(Connection& connection, CloseReason reason) {
+    record_close(connection, reason);
+    abandon_pending_set_ups(connection);
+    remove_connection(connection, reason);
 }
 
-void RelayFront::drop(Connection& c, CloseReason reason) {
-    if (c.gone) return;
-    account_for_close(c, reason);
-    c.gone = true;
-    for (const SessionId id : c.standing)
-        if (const auto it = standing_.find(id); it != standing_.end()) it->second.connection = nullptr;
+void RelayFront::remove_connection(Connection& connection, CloseReason reason) {
+    if (connection.removed) return;
+    record_close(connection, reason);
+    connection.removed = true;
+    for (const SessionId id : connection.established)
+        if (const auto it = established_.find(id); it != established_.end()) it->second.connection = nullptr;
     const auto it = std::find_if(connections_.begin(), connections_.end(),
-                                 [&](const auto& one) { return one.get() == &c; });
-    // Its descriptor is free at once: in a burst of connections those that give way are not to hold theirs
-    // until the end of the turn.
-    c.stream.reset();
-    const auto told = std::move(c.told);
-    dead_.push_back(std::move(*it));
+                                 [&](const auto& one) { return one.get() == &connection; });
+    // Free the descriptor now: in a burst of new connections, evicted ones must not keep theirs until the end
+    // of the event loop's turn.
+    connection.stream.reset();
+    const auto recent = std::move(connection.recent_notifications);
+    removed_connections_.push_back(std::move(*it));
     connections_.erase(it);
-    for (const auto& one : told)
-        if (decide::may_have_crossed(loop_.now() - one.when)) notify_elsewhere(one.end);
-    if (burying_) return;
-    burying_ = true;
+    for (const auto& one : recent)
+        if (decide::may_have_crossed(loop_.now() - one.sent_at)) queue_notification(one.notification);
+    if (cleanup_posted_) return;
+    cleanup_posted_ = true;
     loop_.post([this] {
-        burying_ = false;
-        dead_.clear();
-        over_.clear();
+        cleanup_posted_ = false;
+        removed_connections_.clear();
+        finished_requests_.clear();
     });
 }
 
-// Sends what is written, then our end; what still comes is read and thrown away for a while: closing with
-// input unread would reset the connection and take the last answer away.
-void RelayFront::close(Connection& c, CloseReason reason) {
-    if (c.gone || c.ending) return;
-    account_for_close(c, reason);
-    leave_all(c);
-    c.ending = true;
-    c.ended = loop_.now();
-    c.stream->end();
+// Sends the remaining output, then ends our side. Input is read and discarded until `linger` has passed:
+// closing a socket with unread input resets the connection and would lose the last answer.
+void RelayFront::close_gracefully(Connection& connection, CloseReason reason) {
+    if (connection.removed || connection.closing) return;
+    record_close(connection, reason);
+    abandon_pending_set_ups(connection);
+    connection.closing = true;
+    connection.closing_since = loop_.now();
+    connection.stream->end();
 }
 
-void RelayFront::leave_all(Connection& c) {
-    const auto open = std::move(c.open);
-    c.open.clear();
-    for (const SessionId id : open) {
+void RelayFront::abandon_pending_set_ups(Connection& connection) {
+    const auto pending = std::move(connection.pending_set_ups);
+    connection.pending_set_ups.clear();
+    for (const SessionId id : pending) {
         const auto it = requests_.find(id);
-        if (it == requests_.end()) continue;  // answered because one of the others left
+        if (it == requests_.end()) continue;  // answered when another of them was abandoned
         counts_.gave_up += 1;
         engine_.leave(id, it->second.get());
-        answered(id);
+        finish_request(id);
     }
 }
 
 void RelayFront::sweep() {
-    notify_pending();
-    std::vector<Connection*> old;
-    for (const auto& c : connections_) {
-        if (c->ending
-                ? loop_.now() - c->ended > limits_.linger
-                : c->open.empty() && c->standing.empty() && loop_.now() - c->used > limits_.idle_timeout)
-            old.push_back(c.get());
+    send_pending_notifications();
+    std::vector<Connection*> expired;
+    for (const auto& connection : connections_) {
+        if (connection->closing ? loop_.now() - connection->closing_since > limits_.linger
+                                : connection->pending_set_ups.empty() && connection->established.empty() &&
+                                      loop_.now() - connection->last_used_at > limits_.idle_timeout)
+            expired.push_back(connection.get());
     }
-    for (Connection* c : old) {
-        if (c->gone) continue;
-        if (c->ending) drop(*c, CloseReason::idle);
-        else end_idle(*c);
+    for (Connection* connection : expired) {
+        if (connection->removed) continue;
+        if (connection->closing) remove_connection(*connection, CloseReason::idle);
+        else close_if_idle(*connection);
     }
-    sweep_ = loop_.after(kSweep, [this] { sweep(); });
+    sweep_timer_ = loop_.after(kSweepInterval, [this] { sweep(); });
 }
 
-void RelayFront::end_idle(Connection& c) {
-    c.stream->receive_arrived();
-    if (!c.gone && c.open.empty()) close(c, CloseReason::idle);
+void RelayFront::close_if_idle(Connection& connection) {
+    connection.stream->receive_arrived();
+    if (!connection.removed && connection.pending_set_ups.empty())
+        close_gracefully(connection, CloseReason::idle);
 }
 
-void RelayFront::close_if_done(Connection& c) {
-    if (!c.gone && c.distrusted && c.open.empty()) return close(c, CloseReason::repeated_number);
-    if (!shutdown_ || ending_drained_ || !is_drained(c)) return;
-    // Not within this call, which may be the module's turn: more is read of the connection first.
-    ending_drained_ = true;
+void RelayFront::close_if_done(Connection& connection) {
+    if (!connection.removed && connection.rejects_set_ups && connection.pending_set_ups.empty())
+        return close_gracefully(connection, CloseReason::repeated_number);
+    if (!shutdown_ || drain_check_posted_ || !is_drained(connection)) return;
+    // Deferred: this call may come from within a decision of the module, and the check reads more input.
+    drain_check_posted_ = true;
     loop_.post([this] {
-        ending_drained_ = false;
+        drain_check_posted_ = false;
         end_drained_connections();
     });
 }
 
 void RelayFront::begin_shutdown(const decide::Shutdown& shutdown) { shutdown_ = shutdown; }
 
-bool RelayFront::is_drained(const Connection& c) const {
-    if (c.gone || c.ending) return false;
-    return shutdown_->ends_connection(loop_.now(), {c.open.size(), c.requested, c.accepted});
+bool RelayFront::is_drained(const Connection& connection) const {
+    if (connection.removed || connection.closing) return false;
+    return shutdown_->ends_connection(
+        loop_.now(), {connection.pending_set_ups.size(), connection.received_data, connection.accepted_at});
 }
 
 void RelayFront::end_drained_connections() {
     std::vector<Connection*> drained;
-    for (const auto& c : connections_)
-        if (is_drained(*c)) drained.push_back(c.get());
-    for (Connection* c : drained) {
-        if (c->gone) continue;
-        c->stream->receive_arrived();  // a request in its buffer has not crossed our end: it is answered
-        if (is_drained(*c)) close(*c, CloseReason::drained);
+    for (const auto& connection : connections_)
+        if (is_drained(*connection)) drained.push_back(connection.get());
+    for (Connection* connection : drained) {
+        if (connection->removed) continue;
+        // A request already in the receive buffer was sent before our end and has to be answered.
+        connection->stream->receive_arrived();
+        if (is_drained(*connection)) close_gracefully(*connection, CloseReason::drained);
     }
 }
 
 void RelayFront::end_all_connections() {
-    for (const auto& c : connections_) {
-        if (c->ending) continue;
-        account_for_close(*c, CloseReason::hard_deadline);
-        c->ending = true;
-        c->ended = loop_.now();
-        c->stream->end();
+    for (const auto& connection : connections_) {
+        if (connection->closing) continue;
+        record_close(*connection, CloseReason::hard_deadline);
+        connection->closing = true;
+        connection->closing_since = loop_.now();
+        connection->stream->end();
     }
 }
 
 bool RelayFront::has_sent_all_output() const {
     return std::all_of(connections_.begin(), connections_.end(),
-                       [](const auto& c) { return c->stream->pending() == 0; });
-}
-
-void RelayFront::send(Connection& c, const ViewerMessage& m) {
-    if (c.gone) return;
-    c.used = loop_.now();
-    if (c.unread) return;
-    c.stream->write(relay::write_line(m));
-    if (c.stream->pending() <= limits_.max_unsent_output) return;
-    // Not within this call: it may be the module's refusal of one set-up, with the sending of another of the
-    // same connection still to be carried out.
-    c.unread = true;
-    // It may be dropped and buried before: it is looked for, not kept.
-    loop_.post([this, at = &c] {
+                       [](const auto& connection) { return connection->stream->pending() == 0; });
+}
+
+void RelayFront::send_message(Connection& connection, const ViewerMessage& message) {
+    if (connection.removed) return;
+    connection.last_used_at = loop_.now();
+    if (connection.output_overflowed) return;
+    connection.stream->write(relay::write_line(message));
+    if (connection.stream->pending() <= limits_.max_unsent_output) return;
+    // Deferred: this call may carry out the module's refusal of one set-up while the sending of another one
+    // of the same connection is still to be carried out.
+    connection.output_overflowed = true;
+    // The connection may be removed and destroyed before, so it is looked up again.
+    loop_.post([this, target = &connection] {
         for (const auto& one : connections_) {
-            if (one.get() != at || !one->unread) continue;
-            account_for_close(*at, CloseReason::unread_output);
-            leave_all(*at);
-            return drop(*at, CloseReason::unread_output);
+            if (one.get() != target || !one->output_overflowed) continue;
+            record_close(*target, CloseReason::unread_output);
+            abandon_pending_set_ups(*target);
+            return remove_connection(*target, CloseReason::unread_output);
         }
     });
 }
-void RelayFront::release(Connection& c, const std::string& id, int cause, Time wait) {
-    ViewerMessage m;
-    m.type = Type::release, m.id = id, m.cause = cause;
-    if (wait >= 1) m.fields["wait"] = std::to_string(std::llround(wait));
-    send(c, m);
+void RelayFront::send_release(Connection& connection, const std::string& id, int cause, Time wait) {
+    ViewerMessage message;
+    message.type = Type::release, message.id = id, message.cause = cause;
+    if (wait >= 1) message.fields["wait"] = std::to_string(std::llround(wait));
+    send_message(connection, message);
 }
 
-// ---- What viewers say ----
+// ---- Messages from clients ----
 
-void RelayFront::heard(Connection& c, std::string_view bytes) {
+void RelayFront::handle_data(Connection& connection, std::string_view bytes) {
     last_received_at_ = loop_.now();
-    if (c.ending) return;
-    c.used = loop_.now();
-    while (!c.gone && !c.ending && !bytes.empty()) {
-        c.requested = true;
-        const auto line = c.decoder.next(bytes);
-        if (c.decoder.too_long()) {
+    if (connection.closing) return;
+    connection.last_used_at = loop_.now();
+    while (!connection.removed && !connection.closing && !bytes.empty()) {
+        connection.received_data = true;
+        const auto line = connection.decoder.next(bytes);
+        if (connection.decoder.too_long()) {
             counts_.unreadable += 1;
-            return close(c, CloseReason::unreadable);
+            return close_gracefully(connection, CloseReason::unreadable);
         }
         if (!line) return;
-        take(c, *line);
+        handle_line(connection, *line);
     }
 }
 
-void RelayFront::take(Connection& c, const std::string& line) {
+void RelayFront::handle_line(Connection& connection, const std::string& line) {
     const relay::Line read = relay::read_line(line);
     if (const auto* fault = std::get_if<relay::Fault>(&read)) {
         counts_.unreadable += 1;
-        // One that names a session is told; what it belongs to is not known otherwise.
+        // With a readable session number that has no pending set-up, only that session is released;
+        // otherwise the connection is closed, since it is unknown what the message belongs to.
         if (const auto number = relay::read_hex(fault->id); number && !requests_.count(*number))
-            return release(c, fault->id, kUnusable);
-        return close(c, CloseReason::unreadable);
+            return send_release(connection, fault->id, kCauseUnusable);
+        return close_gracefully(connection, CloseReason::unreadable);
     }
-    const auto& m = std::get<ViewerMessage>(read);
-    switch (m.type) {
+    const auto& message = std::get<ViewerMessage>(read);
+    switch (message.type) {
         case Type::setup:
-            return take_set_up(c, m);
+            return handle_set_up(connection, message);
         case Type::release:
-            return take_release(c, m);
+            return handle_release(connection, message);
         case Type::ping: {
             counts_.pings += 1;
-            c.tested = true;
+            connection.received_ping = true;
             ViewerMessage pong;
-            pong.type = Type::pong, pong.id = m.id, pong.cause = relay::kCausePassed;
-            return send(c, pong);
+            pong.type = Type::pong, pong.id = message.id, pong.cause = relay::kCausePassed;
+            return send_message(connection, pong);
         }
         case Type::released:
         case Type::progress:
             return;
         default:
             counts_.bad += 1;
-            return close(c, CloseReason::unusable);
+            return close_gracefully(connection, CloseReason::unusable);
     }
 }
 
-// What is wrong with the set-up, or nothing.
-std::string RelayFront::read_ask(const ViewerMessage& m, core::Ask& ask, std::string& at) const {
+// Fills `ask`, and `node_uid` with the node that already plays a session that is handed over (else empty).
+// Returns what is wrong with the set-up, or an empty string.
+std::string RelayFront::parse_set_up(const ViewerMessage& message, core::Ask& ask,
+                                     std::string& node_uid) const {
     const auto field = [&](const char* name) {
-        const auto it = m.fields.find(name);
-        return it == m.fields.end() ? std::string() : it->second;
+        const auto it = message.fields.find(name);
+        return it == message.fields.end() ? std::string() : it->second;
     };
-    const auto index = [](const std::vector<std::string>& names, const std::string& name) {
+    const auto find_index = [](const std::vector<std::string>& names, const std::string& name) {
         const auto it = std::find(names.begin(), names.end(), name);
         return it == names.end() ? -1 : static_cast<int>(it - names.begin());
     };
-    ask.number = m.session;
+    ask.number = message.session;
     ask.cls_name = field("class");
-    ask.cls = index(names_.classes, ask.cls_name);
+    ask.cls = find_index(names_.classes, ask.cls_name);
     if (ask.cls < 0) return "no such class";
     if (!names_.tenants.empty()) {
-        ask.tenant = index(names_.tenants, field("tenant"));
+        ask.tenant = find_index(names_.tenants, field("tenant"));
         if (ask.tenant < 0) return "no such tenant";
     }
     ask.title_name = field("key");
     const auto title = relay::read_hex(ask.title_name);
-    if (!title) return "key is no title";
+    if (!title) return "key is not a title number";
     ask.title = *title;
-    if (!m.sdp || m.sdp->empty()) return "no description";
-    ask.description = *m.sdp;
+    if (!message.sdp || message.sdp->empty()) return "no session description";
+    ask.description = *message.sdp;
     const auto extras = relay::read_pairs(field("extras"));
-    if (!extras) return "extras can't be read";
+    if (!extras) return "extras is malformed";
     const auto extra = [&](const char* name) {
         const auto it = extras->find(name);
         return it == extras->end() ? std::string() : it->second;
     };
-    // Where titles are not held by all nodes it must say which cells hold this one.
-    const auto home = whole(extra("home"), 0, 65535), copies = whole(extra("copies"), 0, 65535);
-    const auto top = whole(extra("top"), 0, static_cast<int>(settings_.rung_kb.size()) - 1);
-    if (!home || !copies || !top) return "home, copies or top is no number in range";
+    // home, copies: where titles are not held by all nodes, the cells that hold this title.
+    const auto home = parse_integer(extra("home"), 0, 65535),
+               copies = parse_integer(extra("copies"), 0, 65535);
+    const auto top = parse_integer(extra("top"), 0, static_cast<int>(settings_.rung_kb.size()) - 1);
+    if (!home || !copies || !top) return "home, copies or top is missing or out of range";
     if (settings_.cells > 0 && (*home >= settings_.cells || *copies > settings_.cells))
         return "home or copies is out of range";
     ask.first_cell = *home, ask.cell_count = *copies, ask.top_rung = *top;
     const auto viewer = relay::read_hex(extra("viewer"));
-    if (!viewer) return "viewer can't be read";
+    if (!viewer) return "viewer is not a hexadecimal number";
     ask.viewer = *viewer;
     ask.again = extra("again") == "1";
-    at = extra("at");
-    // One that plays already waits for nothing, and says so by a time without bound.
+    node_uid = extra("at");
+    // A session that is handed over already plays and waits for nothing: its `left` is without bound.
     const Time patience = settings_.classes[static_cast<std::size_t>(ask.cls)].patience;
-    const auto left = relay::read_number(field("left"));
-    if (!left || *left <= 0 || (at.empty() && *left > patience + 1)) return "left is no time to wait";
-    ask.deadline = loop_.now() + *left;
+    const auto time_left = relay::read_number(field("left"));
+    if (!time_left || *time_left <= 0 || (node_uid.empty() && *time_left > patience + 1))
+        return "left is not a valid time to wait";
+    ask.deadline = loop_.now() + *time_left;
     return "";
 }
 
-void RelayFront::take_set_up(Connection& c, const ViewerMessage& m) {
+void RelayFront::handle_set_up(Connection& connection, const ViewerMessage& message) {
     counts_.set_ups += 1;
-    if (c.distrusted) return release(c, m.id, kUnusable);
-    if (const auto it = requests_.find(m.session); it != requests_.end()) {
-        // Two requests under one number. On one connection an answer to either would be taken for both:
-        // neither is served, and nothing more is taken on it, since such a client may go on so by the
-        // hundred. What else is open on it is answered before it is closed. From another connection the
-        // second alone is turned away there.
+    if (connection.rejects_set_ups) return send_release(connection, message.id, kCauseUnusable);
+    if (const auto it = requests_.find(message.session); it != requests_.end()) {
+        // Two requests under one session number. On the same connection an answer to one would be taken for
+        // both, so neither is served, and no more set-ups are accepted on it: such a client may repeat this
+        // hundreds of times. Other set-ups pending on it are answered before it is closed. If the second
+        // request comes on another connection, only that one is rejected.
         counts_.repeated += 1;
-        if (it->second->connection == &c) {
-            const std::string first = it->second->id;
-            c.distrusted = true;
-            engine_.leave(m.session, it->second.get());
-            answered(m.session);
-            release(c, first, kUnusable);
+        if (it->second->connection == &connection) {
+            const std::string first_id_text = it->second->id_text;
+            connection.rejects_set_ups = true;
+            engine_.leave(message.session, it->second.get());
+            finish_request(message.session);
+            send_release(connection, first_id_text, kCauseUnusable);
         }
-        release(c, m.id, kUnusable);
-        return close_if_done(c);
+        send_release(connection, message.id, kCauseUnusable);
+        return close_if_done(connection);
     }
     core::Ask ask;
-    std::string at;
-    const std::string why = read_ask(m, ask, at);
+    std::string node_uid;
+    const std::string why = parse_set_up(message, ask, node_uid);
     if (!why.empty()) {
         counts_.bad += 1;
-        if (on_invalid_set_up) on_invalid_set_up(why, m);
-        return release(c, m.id, kUnusable);
+        if (on_invalid_set_up) on_invalid_set_up(why, message);
+        return send_release(connection, message.id, kCauseUnusable);
     }
-    if (on_first_set_up && !began_) on_first_set_up();
-    began_ = true;
-    c.carried = true;
-    notify_pending();
-    if (!at.empty()) {
-        const auto server = find_node ? find_node(at) : std::nullopt;
-        // It may name what we hold already.
-        if (engine_.knows(m.session)) return;
+    if (on_first_set_up && !received_set_up_) on_first_set_up();
+    received_set_up_ = true;
+    connection.received_valid_set_up = true;
+    send_pending_notifications();
+    if (!node_uid.empty()) {
+        const auto server = find_node ? find_node(node_uid) : std::nullopt;
+        // The engine may know the session already.
+        if (engine_.knows(message.session)) return;
         if (!server) {
             counts_.bad += 1;
-            return release(c, m.id, kUnusable);
+            return send_release(connection, message.id, kCauseUnusable);
         }
         counts_.adopted += 1;
-        standing_[m.session] = {&c, std::numeric_limits<io::Time>::lowest()};
-        c.standing.insert(m.session);
+        established_[message.session] = {&connection, std::numeric_limits<io::Time>::lowest()};
+        connection.established.insert(message.session);
         adopt_session(ask, *server);
         return;
     }
-    if (engine_.knows(m.session)) {  // it stands: its number is taken
+    if (engine_.knows(message.session)) {  // the number belongs to an established session
         counts_.repeated += 1;
-        return release(c, m.id, kUnusable);
+        return send_release(connection, message.id, kCauseUnusable);
     }
     const bool stopping = shutdown_ && loop_.now() >= shutdown_->take_until();
-    if (!decide::takes(limits_.intake, c.open.size(), stopping)) {
+    if (!decide::takes(limits_.intake, connection.pending_set_ups.size(), stopping)) {
         counts_.turned_away += 1;
-        release(c, m.id, kRefused);
-        return close_if_done(c);
+        send_release(connection, message.id, kCauseRefused);
+        return close_if_done(connection);
     }
-    auto owned = std::make_unique<Request>(*this, m.session, m.id, &c);
+    auto owned = std::make_unique<Request>(*this, message.session, message.id, &connection);
     Request* request = owned.get();
-    requests_.emplace(m.session, std::move(owned));
-    c.open.insert(m.session);
+    requests_.emplace(message.session, std::move(owned));
+    connection.pending_set_ups.insert(message.session);
     engine_.open(ask, request);
 }
 
-// The request has had its answer, or nobody waits for it any more.
-void RelayFront::answered(SessionId id) {
+// Removes a request that has been answered or abandoned.
+void RelayFront::finish_request(SessionId id) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return;
-    it->second->connection->open.erase(id);
-    over_.push_back(std::move(it->second));  // it may be telling us this very moment
+    it->second->connection->pending_set_ups.erase(id);
+    finished_requests_.push_back(std::move(it->second));  // it may be the caller
     requests_.erase(it);
-    if (over_.size() == 1) loop_.post([this] { over_.clear(); });
+    if (finished_requests_.size() == 1) loop_.post([this] { finished_requests_.clear(); });
 }
 
-void RelayFront::take_release(Connection& c, const ViewerMessage& m) {
-    if (const auto it = requests_.find(m.session); it != requests_.end()) {
-        // Only its own viewer gives a set-up up.
-        if (it->second->connection != &c) return close(c, CloseReason::unusable);
+void RelayFront::handle_release(Connection& connection, const ViewerMessage& message) {
+    if (const auto it = requests_.find(message.session); it != requests_.end()) {
+        // A pending set-up may be cancelled only on the connection that it came by.
+        if (it->second->connection != &connection) return close_gracefully(connection, CloseReason::unusable);
         counts_.gave_up += 1;
         Request* request = it->second.get();
-        engine_.leave(m.session, request);
-        answered(m.session);
-        return close_if_done(c);
+        engine_.leave(message.session, request);
+        finish_request(message.session);
+        return close_if_done(connection);
     }
-    ViewerMessage heard;
-    heard.type = Type::released, heard.id = m.id;
-    if (engine_.hang_up(m.session)) {
+    ViewerMessage reply;
+    reply.type = Type::released, reply.id = message.id;
+    if (engine_.hang_up(message.session)) {
         counts_.hung_up += 1;
-        if (const auto it = standing_.find(m.session); it != standing_.end()) {
-            if (Connection* own = it->second.connection) own->standing.erase(m.session);
-            standing_.erase(it);
+        if (const auto it = established_.find(message.session); it != established_.end()) {
+            if (Connection* origin = it->second.connection) origin->established.erase(message.session);
+            established_.erase(it);
         }
-        return send(c, heard);
+        return send_message(connection, reply);
     }
-    // It crossed our answer, or names nothing that ever was: a connection that carried no session before has
-    // no other use then.
+    // The release crossed our answer, or its session never existed. A connection that has carried no set-up
+    // before has no other use then and is closed.
     counts_.unknown_releases += 1;
-    send(c, heard);
-    if (!c.gone && !c.carried) close(c, CloseReason::unusable);
+    send_message(connection, reply);
+    if (!connection.removed && !connection.received_valid_set_up)
+        close_gracefully(connection, CloseReason::unusable);
 }
 
-// ---- What ends ----
+// ---- Ends of sessions ----
 
-void RelayFront::handle_session_end(SessionId id, bool owed, bool moved) {
+void RelayFront::handle_session_end(SessionId id, bool notify_viewer, bool moved) {
     Established session{nullptr, std::numeric_limits<io::Time>::lowest()};
-    if (const auto it = standing_.find(id); it != standing_.end()) {
+    if (const auto it = established_.find(id); it != established_.end()) {
         session = it->second;
-        if (session.connection) session.connection->standing.erase(id);
-        standing_.erase(it);
+        if (session.connection) session.connection->established.erase(id);
+        established_.erase(it);
     }
-    if (!owed) return;
-    const Notification end{id, moved, loop_.now(), session.answered};
-    Connection* own = session.connection;
-    if (own && !own->gone && !own->ending) return notify(*own, end);
-    notify_elsewhere(end);
+    if (!notify_viewer) return;
+    const Notification notification{id, moved, loop_.now(), session.answered_at};
+    Connection* connection = session.connection;
+    if (connection && !connection->removed && !connection->closing)
+        return send_notification(*connection, notification);
+    queue_notification(notification);
 }
 
-// The one heard last of those on which an end may be told; those that carried a set-up first.
-RelayFront::Connection* RelayFront::connection_to_notify(io::Time waited) const {
+// The most recently used connection on which the end of another connection's session may be sent; connections
+// that have carried a set-up are preferred.
+RelayFront::Connection* RelayFront::find_connection_to_notify(io::Time waited) const {
     Connection* best = nullptr;
-    for (const auto& c : connections_) {
-        if (c->ending || !decide::tells_end_on(c->carried, c->tested, waited)) continue;
-        if (!best || std::make_pair(c->carried, c->used) > std::make_pair(best->carried, best->used))
-            best = c.get();
+    for (const auto& connection : connections_) {
+        if (connection->closing ||
+            !decide::tells_end_on(connection->received_valid_set_up, connection->received_ping, waited))
+            continue;
+        if (!best || std::make_pair(connection->received_valid_set_up, connection->last_used_at) >
+                         std::make_pair(best->received_valid_set_up, best->last_used_at))
+            best = connection.get();
     }
     return best;
 }
 
-void RelayFront::notify(Connection& c, const Notification& end) {
-    ViewerMessage m;
-    m.type = end.moved ? Type::move : Type::release;
-    m.id = relay::hex(end.id);
-    if (!end.moved) m.cause = kOver;
+void RelayFront::send_notification(Connection& connection, const Notification& notification) {
+    ViewerMessage message;
+    message.type = notification.moved ? Type::move : Type::release;
+    message.id = relay::hex(notification.session);
+    if (!notification.moved) message.cause = kCauseSessionOver;
     counts_.releases += 1;
-    while (!c.told.empty() && !decide::may_have_crossed(loop_.now() - c.told.front().when))
-        c.told.pop_front();
-    c.told.push_back({loop_.now(), end});
-    send(c, m);
+    while (!connection.recent_notifications.empty() &&
+           !decide::may_have_crossed(loop_.now() - connection.recent_notifications.front().sent_at))
+        connection.recent_notifications.pop_front();
+    connection.recent_notifications.push_back({loop_.now(), notification});
+    send_message(connection, message);
 }
 
-void RelayFront::notify_elsewhere(const Notification& end) {
+void RelayFront::queue_notification(const Notification& notification) {
     if (pending_notifications_.size() >= limits_.max_pending_notifications)
         pending_notifications_.pop_front();
-    pending_notifications_.push_back(end);
-    notify_pending();
+    pending_notifications_.push_back(notification);
+    send_pending_notifications();
 }
 
-void RelayFront::notify_pending() {
+void RelayFront::send_pending_notifications() {
     if (pending_notifications_.empty()) return;
     const auto pending = std::move(pending_notifications_);
     pending_notifications_.clear();
-    io::Time next = std::numeric_limits<io::Time>::infinity();
-    for (const Notification& end : pending) {
-        const io::Time earliest = decide::may_follow_elsewhere(end.answered);
-        if (earliest > loop_.now()) {
-            next = std::min(next, earliest);
-        } else if (Connection* c = connection_to_notify(loop_.now() - end.since)) {
-            notify(*c, end);
+    io::Time next_due = std::numeric_limits<io::Time>::infinity();
+    for (const Notification& notification : pending) {
+        const io::Time allowed_from = decide::may_follow_elsewhere(notification.answered_at);
+        if (allowed_from > loop_.now()) {
+            next_due = std::min(next_due, allowed_from);
+        } else if (Connection* connection = find_connection_to_notify(loop_.now() - notification.ended_at)) {
+            send_notification(*connection, notification);
             continue;
         }
-        pending_notifications_.push_back(end);
+        pending_notifications_.push_back(notification);
     }
-    if (std::isfinite(next)) notification_timer_ = loop_.at(next, [this] { notify_pending(); });
+    if (std::isfinite(next_due))
+        notification_timer_ = loop_.at(next_due, [this] { send_pending_notifications(); });
 }
 
 }  // namespace ivyfield::fronts
--- a/src/fronts/relay/front.hpp
+++ b/src/fronts/relay/front.hpp
@@ -1,7 +1,9 @@
-// Viewers over the platform's JSON lines. One connection carries many sessions; a session that stands belongs
-// to none. Each set-up is answered once, on the connection that it came by; what can't be read, or asks for
-// what the settings do not have, is answered with a release or the end of its connection. Nothing is decided
-// here: which set-up is placed, refused or held is the module's word.
+// The client side of a director on the platform: accepts connections that carry JSON lines
+// (relay/message.hpp) and passes set-ups to the engine. A connection carries many sessions; an established
+// session is not bound to any connection. Each set-up is answered once, on the connection that it came by. A
+// message that can't be parsed, or that names what the settings do not have, is answered with a release or by
+// closing its connection. Whether a set-up is placed, refused or held is decided by the decision module, not
+// here.
 #pragma once
 
 #include <array>
@@ -19,81 +21,91 @@
 
 namespace ivyfield::fronts {
 
+// Limits of a RelayFront. Times in ms, sizes in bytes.
 struct RelayFrontLimits {
     decide::IntakeLimits intake{256, 256};
-    std::size_t max_unsent_output = 256 * 1024;    // of one connection
-    std::size_t max_pending_notifications = 4096;  // that wait for a connection
-    io::Time linger = 500;          // a closed connection is still read, so that its last word arrives
-    io::Time idle_timeout = 10000;  // without a session
+    std::size_t max_unsent_output = 256 * 1024;    // per connection; beyond it the connection is dropped
+    std::size_t max_pending_notifications = 4096;  // beyond it the oldest is dropped
+    io::Time linger = 500;          // input is read so long after our end, so that our last message arrives
+    io::Time idle_timeout = 10000;  // connections without a session are closed after this
 };
 
-// Why a client connection ended; the first reason found counts.
+// Why a client connection was closed; the first reason found counts.
 enum class CloseReason {
-    client_end,       // its client closed it
-    client_reset,     // it broke
-    drained,          // graceful shutdown, nothing open on it
+    client_end,       // closed by the client
+    client_reset,     // the connection broke
+    drained,          // graceful shutdown, no set-up pending on it
     hard_deadline,    // graceful shutdown, no time left
-    idle,             // without a session for long
-    evicted,          // made room for a new one
-    unreadable,       // what came is no message
+    idle,             // without a session for too long
+    evicted,          // closed to make room for a new connection
+    unreadable,       // input that can't be parsed as a message
     unusable,         // a message that only a faulty client sends
-    repeated_number,  // two requests under one number
-    unread_output     // its client does not read
+    repeated_number,  // two set-ups with the same session number
+    unread_output     // the client does not read what it is sent
 };
 constexpr std::size_t kCloseReasons = static_cast<std::size_t>(CloseReason::unread_output) + 1;
+// The name used in logs and reports.
 const char* name(CloseReason reason);
 
-// A connection that ended while something was at stake on it.
+// A closed connection that had pending set-ups, or that was answered so shortly before that the answer may
+// have crossed the close.
 struct ClosedConnection {
     std::uint64_t number = 0;  // in the order of acceptance, from 1
     CloseReason reason = CloseReason::client_end;
-    std::size_t pending_set_ups = 0;            // set-ups without an answer
-    std::optional<io::Time> since_last_answer;  // the last one written on it
+    std::size_t pending_set_ups = 0;            // set-ups not yet answered
+    std::optional<io::Time> since_last_answer;  // ms since the last answer was written; nothing: no answer
 };
 
+// Counters of a RelayFront since its start.
 struct RelayFrontCounts {
-    std::array<std::uint64_t, kCloseReasons> closed{};  // by reason
+    std::array<std::uint64_t, kCloseReasons> closed{};  // connections by CloseReason
     std::uint64_t connections = 0, set_ups = 0, unreadable = 0, bad = 0, repeated = 0, gave_up = 0, pings = 0,
                   adopted = 0, hung_up = 0, releases = 0, unknown_releases = 0, shed = 0, turned_away = 0;
 };
 
+// Names of classes and tenants in the order of the settings.
 struct RelayNames {
     std::vector<std::string> classes, tenants;
 };
 
+// Serves client connections. The engine must outlive the front.
 class RelayFront {
   public:
-    // Throws std::runtime_error when the address can't be had.
+    // Throws std::runtime_error if it can't listen on the address.
     RelayFront(io::Loop& loop, const io::Address& listen, const Settings& settings, const RelayNames& names,
                const RelayFrontLimits& limits, core::Engine& engine);
     ~RelayFront();
     RelayFront(const RelayFront&) = delete;
     RelayFront& operator=(const RelayFront&) = delete;
 
-    // The media node of that name, where the list has it.
+    // Returns the listed media node with that name, if there is one.
     std::function<std::optional<ServerId>(const std::string& uid)> find_node;
-    // A session that plays already is handed over: to the engine, and to the node's link.
+    // Takes over a session that already plays, in the engine and in the link to its node.
     std::function<bool(const core::Ask& ask, ServerId server)> adopt_session;
-    // A set-up that can't be used, and why.
-    std::function<void(const std::string& why, const relay::ViewerMessage& m)> on_invalid_set_up;
-    // A connection ends with a set-up open on it, or so soon after an answer that the two may have crossed.
+    // Called for a set-up that is malformed or names something unknown, with the reason.
+    std::function<void(const std::string& why, const relay::ViewerMessage& message)> on_invalid_set_up;
+    // Called when a connection is closed with set-ups pending on it, or so soon after an answer that the two
+    // may have crossed.
     std::function<void(const ClosedConnection&)> on_connection_closed;
-    // Before the first set-up is passed on.
+    // Called before the first set-up is passed on.
     std::function<void()> on_first_set_up;
 
-    // A session that stood has ended or is moved; its viewer is told where that is owed.
-    void handle_session_end(SessionId id, bool owed, bool moved);
-    // Graceful shutdown: set-ups that come after its time are refused, and connections are ended one by one.
-    // New ones are taken to the last: closing the listener would reset those that the system has accepted and
-    // nobody has read yet, and what crosses an end is sent again on a new connection.
+    // An established session has ended or is moved. With `notify_viewer` its viewer is sent a release or
+    // move, on any suitable connection.
+    void handle_session_end(SessionId id, bool notify_viewer, bool moved);
+    // Starts a graceful shutdown: set-ups that come after shutdown.take_until() are refused, and connections
+    // are ended as they drain. New connections are accepted until the end: closing the listener would reset
+    // those that the system has accepted and nobody has read yet, and clients resend on a new connection what
+    // crosses the end of an old one.
     void begin_shutdown(const decide::Shutdown& shutdown);
-    // Ends the connections whose turn it is; to be called now and then during a shutdown.
+    // Ends the connections that are drained; to be called periodically during a shutdown.
     void end_drained_connections();
-    // When bytes or a connection last came; before it leaves a director has read all that did.
+    // When data or a connection was last received. The director exits only after it has read everything.
     io::Time last_received_at() const { return last_received_at_; }
-    // The hard deadline: our end follows what is written. Reset, an answer on its way would be lost.
+    // The hard deadline: ends every connection after its remaining output. A reset would lose answers that
+    // are on their way.
     void end_all_connections();
-    io::Address address() const { return listener_->address(); }  // with its port, where 0 was asked for
+    io::Address address() const { return listener_->address(); }  // with the port chosen, where 0 was given
     std::size_t connection_count() const { return connections_.size(); }
     std::size_t pending_set_ups() const { return requests_.size(); }
     bool has_sent_all_output() const;
@@ -102,62 +114,64 @@
   private:
     struct Connection;
     struct Request;
-    // The end of a session, for its client.
+    // The end or move of a session, to be sent to its client.
     struct Notification {
-        SessionId id = 0;
+        SessionId session = 0;
         bool moved = false;
-        io::Time since = 0, answered = 0;
+        io::Time ended_at = 0, answered_at = 0;  // answered_at: see Established
     };
 
-    void accepted(std::unique_ptr<io::Stream> stream);
-    void heard(Connection& c, std::string_view bytes);
-    void take(Connection& c, const std::string& line);
-    void take_set_up(Connection& c, const relay::ViewerMessage& m);
-    void take_release(Connection& c, const relay::ViewerMessage& m);
-    std::string read_ask(const relay::ViewerMessage& m, core::Ask& ask, std::string& at) const;
-    void send(Connection& c, const relay::ViewerMessage& m);
-    void release(Connection& c, const std::string& id, int cause, Time wait = 0);
-    void answered(SessionId id);
-    void leave_all(Connection& c);
-    void close(Connection& c, CloseReason reason);
-    void account_for_close(Connection& c, CloseReason reason);
-    void closed_by_client(Connection& c, CloseReason reason);
-    void evict(Connection& c);
-    void end_idle(Connection& c);
-    void close_if_done(Connection& c);
-    bool is_drained(const Connection& c) const;
-    void drop(Connection& c, CloseReason reason);
+    void accept_connection(std::unique_ptr<io::Stream> stream);
+    void handle_data(Connection& connection, std::string_view bytes);
+    void handle_line(Connection& connection, const std::string& line);
+    void handle_set_up(Connection& connection, const relay::ViewerMessage& message);
+    void handle_release(Connection& connection, const relay::ViewerMessage& message);
+    std::string parse_set_up(const relay::ViewerMessage& message, core::Ask& ask,
+                             std::string& node_uid) const;
+    void send_message(Connection& connection, const relay::ViewerMessage& message);
+    void send_release(Connection& connection, const std::string& id, int cause, Time wait = 0);
+    void finish_request(SessionId id);
+    void abandon_pending_set_ups(Connection& connection);
+    void close_gracefully(Connection& connection, CloseReason reason);
+    void record_close(Connection& connection, CloseReason reason);
+    void handle_client_close(Connection& connection, CloseReason reason);
+    void evict(Connection& connection);
+    void close_if_idle(Connection& connection);
+    void close_if_done(Connection& connection);
+    bool is_drained(const Connection& connection) const;
+    void remove_connection(Connection& connection, CloseReason reason);
     bool make_room();
     void sweep();
-    Connection* connection_to_notify(io::Time waited) const;
-    void notify(Connection& c, const Notification& end);
-    void notify_elsewhere(const Notification& end);
-    void notify_pending();
+    Connection* find_connection_to_notify(io::Time waited) const;
+    void send_notification(Connection& connection, const Notification& notification);
+    void queue_notification(const Notification& notification);
+    void send_pending_notifications();
 
     io::Loop& loop_;
     Settings settings_;
     RelayNames names_;
     RelayFrontLimits limits_;
     core::Engine& engine_;
-    bool began_ = false;
+    bool received_set_up_ = false;
     io::Time last_received_at_ = 0;
     std::optional<decide::Shutdown> shutdown_;
-    bool ending_drained_ = false;                         // end_drained_connections() is posted
+    bool drain_check_posted_ = false;                     // a call of end_drained_connections() is posted
     std::list<std::unique_ptr<Connection>> connections_;  // oldest first
     std::map<SessionId, std::unique_ptr<Request>> requests_;
     struct Established {
-        Connection* connection = nullptr;  // that of its set-up, while it lasts
-        io::Time answered = 0;             // by us; lowest for one that was handed over
+        Connection* connection = nullptr;  // the connection of its set-up; null once that is closed
+        io::Time answered_at = 0;          // when its set-up was answered; lowest() if it was handed over
     };
-    std::map<SessionId, Established> standing_;
-    std::deque<Notification>
-        pending_notifications_;  // for want of a connection, or not to overtake an answer
+    std::map<SessionId, Established> established_;
+    // Waiting for a suitable connection, or so as not to overtake the answer; oldest first.
+    std::deque<Notification> pending_notifications_;
     io::Timer notification_timer_;
-    std::vector<std::unique_ptr<Connection>> dead_;
-    std::vector<std::unique_ptr<Request>> over_;
-    bool burying_ = false;
+    // Destroyed in the event loop's next turn, because they may be in a callback.
+    std::vector<std::unique_ptr<Connection>> removed_connections_;
+    std::vector<std::unique_ptr<Request>> finished_requests_;
+    bool cleanup_posted_ = false;
     RelayFrontCounts counts_;
-    io::Timer sweep_;
+    io::Timer sweep_timer_;
     std::unique_ptr<io::Listener> listener_;
 };
 
