--- a/src/discovery/consul.cpp
+++ b/src/discovery/consul.cpp
@@ -14,69 +14,71 @@
 
 namespace {
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
     return value;
 }
 
-std::string text_of(const json& from, const char* key) {
+std::string string_field(const json& from, const char* key) {
     return from.contains(key) && from.at(key).is_string() ? from.at(key).get<std::string>() : std::string();
 }
-json child(const json& from, const char* key) {
+json object_field(const json& from, const char* key) {
     return from.contains(key) && from.at(key).is_object() ? from.at(key) : json::object();
 }
 
-Instance read_instance(const json& one, const std::vector<std::string>& kinds, io::Time now, double wall_ms) {
-    const json service = child(one, "Service"), meta = child(service, "Meta"), node = child(one, "Node");
-    Instance out;
-    out.id = text_of(service, "ID");
-    if (out.id.empty()) throw std::invalid_argument("an instance without Service.ID");
-    std::string host = text_of(service, "Address");
-    if (host.empty()) host = text_of(node, "Address");
+Instance parse_instance(const json& source, const std::vector<std::string>& kinds, io::Time now,
+                        double wall_ms) {
+    const json service = object_field(source, "Service"), meta = object_field(service, "Meta"),
+               node = object_field(source, "Node");
+    Instance instance;
+    instance.id = string_field(service, "ID");
+    if (instance.id.empty()) throw std::invalid_argument("an instance without Service.ID");
+    std::string host = string_field(service, "Address");
+    if (host.empty()) host = string_field(node, "Address");
     const json port = service.contains("Port") ? service.at("Port") : json();
     if (host.empty() || !port.is_number_integer() || port.get<int>() < 1 || port.get<int>() > 65535)
-        throw std::invalid_argument(out.id + ": no address and port");
-    out.address = {host, port.get<std::uint16_t>()};
-    ServerEntry& e = out.entry;
-    // One id for one instance at one address, alike at each director and after each restart.
-    const std::string whole = out.id + "|" + out.address.text();
-    e.id = XXH64(whole.data(), whole.size(), 0);
-    const auto meta_number = [&](const char* key, double absent) {
-        const std::string text = text_of(meta, key);
-        if (text.empty()) return absent;
-        const auto value = number(text);
+        throw std::invalid_argument(instance.id + ": no valid address and port");
+    instance.address = {host, port.get<std::uint16_t>()};
+    ServerEntry& entry = instance.entry;
+    // Hash of id and address: the same at every director and after each of its restarts.
+    const std::string identity = instance.id + "|" + instance.address.text();
+    entry.id = XXH64(identity.data(), identity.size(), 0);
+    const auto meta_number = [&](const char* key, double default_value) {
+        const std::string text = string_field(meta, key);
+        if (text.empty()) return default_value;
+        const auto value = parse_number(text);
         if (!value || !(*value >= 0))
-            throw std::invalid_argument(out.id + ": Meta." + key + " is not a number");
+            throw std::invalid_argument(instance.id + ": Meta." + key + " is not a number");
         return *value;
     };
-    const json weights = child(service, "Weights");
+    const json weights = object_field(service, "Weights");
     const double passing = weights.contains("Passing") && weights.at("Passing").is_number()
                                ? weights.at("Passing").get<double>()
                                : 1.0;
-    e.position = static_cast<int>(std::min(meta_number("position", 0), 1e6));
-    e.weight = meta_number("weight", passing);
-    e.zone = static_cast<int>(std::min(meta_number("zone", 0), 255.0));
-    const std::string kind = text_of(meta, "kind");
-    const auto found = std::find(kinds.begin(), kinds.end(), kind);
-    if (kind.empty()) e.kind = 0;
-    else if (found == kinds.end())
-        throw std::invalid_argument(out.id + ": kind \"" + kind + "\" is not configured");
-    else e.kind = static_cast<int>(found - kinds.begin());
+    entry.position = static_cast<int>(std::min(meta_number("position", 0), 1e6));
+    entry.weight = meta_number("weight", passing);
+    entry.zone = static_cast<int>(std::min(meta_number("zone", 0), 255.0));
+    const std::string kind = string_field(meta, "kind");
+    const auto it = std::find(kinds.begin(), kinds.end(), kind);
+    if (kind.empty()) entry.kind = 0;
+    else if (it == kinds.end())
+        throw std::invalid_argument(instance.id + ": kind \"" + kind + "\" is not configured");
+    else entry.kind = static_cast<int>(it - kinds.begin());
     if (const double started = meta_number("started_ms", 0); started > 0)
-        // 0 means long ago, so a start before this clock began is set to its first moment: cold rather than
-        // warm.
-        e.last_start = std::max(1.0, now - std::max(0.0, wall_ms - started));
-    e.state = text_of(meta, "state") == "draining" ? ServerState::draining : ServerState::ready;
-    for (const json& check : one.contains("Checks") ? one.at("Checks") : json::array()) {
-        if (text_of(check, "Status") != "critical") continue;
-        const std::string id = text_of(check, "CheckID");
+        // last_start 0 means long ago. A start before this director's clock began is set to the clock's first
+        // moment, so that the node is taken for cold rather than warm.
+        entry.last_start = std::max(1.0, now - std::max(0.0, wall_ms - started));
+    entry.state = string_field(meta, "state") == "draining" ? ServerState::draining : ServerState::ready;
+    for (const json& check : source.contains("Checks") ? source.at("Checks") : json::array()) {
+        if (string_field(check, "Status") != "critical") continue;
+        const std::string id = string_field(check, "CheckID");
         const bool maintenance = id == "_node_maintenance" || id.rfind("_service_maintenance:", 0) == 0;
-        if (!maintenance) e.state = ServerState::gone;
-        else if (e.state == ServerState::ready) e.state = ServerState::draining;
+        if (!maintenance) entry.state = ServerState::gone;
+        else if (entry.state == ServerState::ready) entry.state = ServerState::draining;
     }
-    return out;
+    return instance;
 }
 
 }  // namespace
@@ -84,36 +86,36 @@
 HealthResponse parse_health_response(const std::string& body, const std::vector<std::string>& kinds,
                                      io::Time now, double wall_ms) {
     const json doc = json::parse(body, nullptr, false);
-    if (!doc.is_array()) throw std::invalid_argument("the answer is not a JSON array");
-    HealthResponse out;
+    if (!doc.is_array()) throw std::invalid_argument("the response body is not a JSON array");
+    HealthResponse response;
     std::map<std::string, std::size_t> ids;
-    std::map<ServerId, std::string> numbers;
-    for (const json& one : doc) {
+    std::map<ServerId, std::string> server_ids;
+    for (const json& source : doc) {
         try {
-            Instance instance = read_instance(one, kinds, now, wall_ms);
-            if (!ids.emplace(instance.id, out.instances.size()).second)
+            Instance instance = parse_instance(source, kinds, now, wall_ms);
+            if (!ids.emplace(instance.id, response.instances.size()).second)
                 throw std::invalid_argument(instance.id + ": listed twice");
-            if (!numbers.emplace(instance.entry.id, instance.id).second)
-                throw std::invalid_argument(instance.id + ": its number is taken by another");
-            out.instances.push_back(std::move(instance));
+            if (!server_ids.emplace(instance.entry.id, instance.id).second)
+                throw std::invalid_argument(instance.id + ": has the same server id as another instance");
+            response.instances.push_back(std::move(instance));
         } catch (const std::exception& e) {
-            out.errors.push_back(e.what());
+            response.errors.push_back(e.what());
         }
     }
-    return out;
+    return response;
 }
 
-ConsulClient::ConsulClient(io::Loop& loop, const ConsulSettings& settings, Changed changed)
-    : loop_(loop), settings_(settings), changed_(std::move(changed)), client_(loop, [&] {
+ConsulClient::ConsulClient(io::Loop& loop, const ConsulSettings& settings, ChangeHandler on_change)
+    : loop_(loop), settings_(settings), on_change_(std::move(on_change)), client_(loop, [&] {
           http::ClientLimits limits;
           limits.parse.body = settings.max_body;
           return limits;
       }()) {
-    ask();
+    send_query();
 }
 ConsulClient::~ConsulClient() = default;
 
-void ConsulClient::ask() {
+void ConsulClient::send_query() {
     http::Request request;
     request.target = "/v1/health/service/" + settings_.service +
                      "?wait=" + std::to_string(static_cast<long>(settings_.max_wait)) + "ms";
@@ -122,53 +124,57 @@
     request.headers.add("User-Agent", settings_.user_agent);
     http::CallOptions options;
     options.connect_timeout = settings_.connect_timeout;
-    // Consul adds up to a sixteenth of the wait, so that not all askers come back at once.
+    // Consul lengthens the wait by up to a sixteenth, so that not all clients return at the same time.
     options.timeout = (index_ > 0 ? settings_.max_wait * 17 / 16 : 0) + 5000;
     call_ = client_.send(settings_.address, std::move(request), std::move(options),
                          [this](const http::CallResult& result) {
                              const std::shared_ptr<http::Call> self(std::move(call_));
                              loop_.post([self] {});
-                             answered(result);
+                             handle_response(result);
                          });
 }
 
-void ConsulClient::again(io::Time wait) {
-    retry_ = loop_.after(wait, [this] { ask(); });
+void ConsulClient::schedule_query(io::Time wait) {
+    query_timer_ = loop_.after(wait, [this] { send_query(); });
 }
 
-void ConsulClient::answered(const http::CallResult& result) {
+void ConsulClient::handle_response(const http::CallResult& result) {
     const auto failed = [this](std::string why) {
         counts_.failures += 1;
-        fault_ = std::move(why);
-        wait_ = std::clamp(wait_ * 2, settings_.min_retry_delay, settings_.max_retry_delay);
-        again(wait_);
+        last_error_ = std::move(why);
+        retry_delay_ = std::clamp(retry_delay_ * 2, settings_.min_retry_delay, settings_.max_retry_delay);
+        schedule_query(retry_delay_);
     };
     if (result.end != http::CallEnd::response) return failed(http::name(result.end));
-    const http::Response& r = result.response;
-    if (r.status != 200) return failed("status " + std::to_string(r.status));
-    const double last_contact = number(r.headers.get("X-Consul-LastContact").value_or("0")).value_or(0);
-    if (last_contact > settings_.max_staleness || r.headers.get("X-Consul-KnownLeader") == "false") {
+    const http::Response& response = result.response;
+    if (response.status != 200) return failed("HTTP status " + std::to_string(response.status));
+    const double last_contact =
+        parse_number(response.headers.get("X-Consul-LastContact").value_or("0")).value_or(0);
+    if (last_contact > settings_.max_staleness || response.headers.get("X-Consul-KnownLeader") == "false") {
         counts_.too_old += 1;
-        return failed("the answer is too old: last contact " + std::to_string(last_contact) + " ms ago");
+        return failed("the response is too old: last contact with the leader " +
+                      std::to_string(last_contact) + " ms ago");
     }
     HealthResponse parsed;
     try {
-        parsed = parse_health_response(r.body, settings_.kinds, loop_.now(), loop_.wall_ms());
+        parsed = parse_health_response(response.body, settings_.kinds, loop_.now(), loop_.wall_ms());
     } catch (const std::invalid_argument& e) {
         return failed(e.what());
     }
     counts_.answers += 1;
     counts_.left_out += parsed.errors.size();
-    fault_ = parsed.errors.empty() ? "" : parsed.errors.front();
-    wait_ = 0;
-    const double told = number(r.headers.get("X-Consul-Index").value_or("0")).value_or(0);
-    const auto index = told >= 1 ? static_cast<std::uint64_t>(told) : 0;
+    last_error_ = parsed.errors.empty() ? "" : parsed.errors.front();
+    retry_delay_ = 0;
+    const double reported_index =
+        parse_number(response.headers.get("X-Consul-Index").value_or("0")).value_or(0);
+    const auto index = reported_index >= 1 ? static_cast<std::uint64_t>(reported_index) : 0;
     const bool same = index > 0 && index == index_;
     if (index < index_ || index == 0) counts_.resets += index_ > 0, index_ = 0;
     else index_ = index;
-    if (!same) changed_(parsed.instances);  // the same index: the wait ran out, nothing is new
-    // A server that answers at once again and again must not make us spin.
-    again(result.waited < 50 ? 50 : 0);
+    if (!same) on_change_(parsed.instances);  // same index: the blocking query timed out without a change
+    // At least 50 ms between queries, so that a server that always answers at once does not make this a busy
+    // loop.
+    schedule_query(result.waited < 50 ? 50 : 0);
 }
 
 }  // namespace ivyfield::discovery
--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -1,7 +1,8 @@
-// The list of media nodes from the platform's name server: DNS over UDP (RFC 1035, RFC 2782), read and built
-// with ldns. The serial of the SOA record numbers the list; an answer is taken whole or not at all. What
-// can't be read, is not ours, is cut short, reports a failure or is older than what is known changes nothing
-// and is asked for again. What can't be had for seconds leaves the last list in force.
+// The list of media nodes, polled from the platform's name server: SRV records by DNS over UDP (RFC 1035,
+// RFC 2782), encoded and decoded with ldns. The serial of the SOA record is the version of the list. A
+// response is accepted whole or not at all: one that can't be parsed, does not match a query, is truncated,
+// reports an error or is older than the known list changes nothing, and the server is queried again. If no
+// response arrives for seconds, the last list stays in force.
 #pragma once
 
 #include <deque>
@@ -15,7 +16,7 @@
 
 namespace ivyfield::discovery {
 
-// A media node as the platform lists it.
+// A media node as it is listed by the platform.
 struct Member {
     std::string uid;
     io::Address address;
@@ -23,7 +24,7 @@
     int cell = 0;
     ServerState state = ServerState::ready;
     double weight = 0;
-    double started_unix_ms = 0;  // 0: long ago
+    double started_unix_ms = 0;  // when its process started; 0: long ago
 
     friend bool operator==(const Member& a, const Member& b) {
         return a.uid == b.uid && a.address == b.address && a.zone == b.zone && a.kind == b.kind &&
@@ -33,57 +34,61 @@
 };
 using Members = std::map<std::string, Member>;  // by uid
 
+// A parsed response: the version of the list and the whole list.
 struct SrvResponse {
     std::uint32_t serial = 0;
     Members members;
 };
-// A query's bytes.
+// Returns the bytes of an SRV query for `name`. Throws std::invalid_argument if that is not a domain name.
 std::string build_srv_query(const std::string& name, std::uint16_t id);
-// The answer to that query, or why it is none (`fault`).
+// Parses the response to the query with that name and id. Returns nothing, with the reason in `error`, if
+// `bytes` are not such a response or can't be used.
 std::optional<SrvResponse> parse_srv_response(std::string_view bytes, const std::string& name,
-                                              std::uint16_t id, std::string& fault);
+                                              std::uint16_t id, std::string& error);
 
+// Counters of a SrvPoller: queries sent (asked), responses with a newer (taken), the same (same) or an older
+// list, bad responses, and queries given up without a response.
 struct SrvCounts {
     std::uint64_t asked = 0, taken = 0, same = 0, bad = 0, older = 0, unanswered = 0;
 };
 
+// Polls the name server for the list of media nodes.
 class SrvPoller {
   public:
-    // What a good answer that is not older than the last one tells.
     struct Events {
-        std::function<void(const Members& all)> on_changed;  // a whole list, newer than the last
-        std::function<void()> on_confirmed;                  // the last one holds at this moment
+        std::function<void(const Members& all)> on_changed;  // a response with a newer list, which is whole
+        std::function<void()> on_confirmed;                  // a fresh response with the list already known
     };
-    // `known`: the number of the last event that `members` holds.
-    SrvPoller(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known,
+    // `known_serial`: the version of the list that the caller has already.
+    SrvPoller(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known_serial,
               Events events);
-    void set_server(const io::Address& server);  // the numbers go on
+    void set_server(const io::Address& server);  // versions must continue at the new server
     const SrvCounts& counts() const { return counts_; }
-    const std::string& last_error() const { return fault_; }
+    const std::string& last_error() const { return last_error_; }
 
   private:
-    void ask();
-    void heard(const io::Address& from, std::string_view bytes);
-    void take(const SrvResponse& answer, std::string_view bytes, bool fresh);
-    void confirm(bool fresh);
+    void send_query();
+    void handle_datagram(const io::Address& from, std::string_view bytes);
+    void handle_response(const SrvResponse& answer, std::string_view bytes, bool fresh);
+    void confirm_list(bool fresh);
 
     io::Loop& loop_;
     io::Address server_;
     std::string name_;
-    std::string query_;  // built once; its first two bytes are the id
+    std::string query_;  // built once; the first two bytes are replaced by each query's id
     std::uint32_t serial_;
-    std::string last_answer_;  // bytes of the newest list, without the id of its query; empty: none yet
+    std::string last_response_;  // bytes of the last accepted response without its id; empty: none yet
     Events events_;
     std::unique_ptr<io::Datagram> socket_;
     struct Query {
         std::uint16_t id;
-        io::Time asked;
+        io::Time sent_at;
     };
-    std::deque<Query> open_;  // that may still be answered, oldest first
+    std::deque<Query> open_queries_;  // oldest first
     decide::Polling polling_;
-    io::Timer next_;
+    io::Timer query_timer_;
     SrvCounts counts_;
-    std::string fault_;
+    std::string last_error_;
 };
 
 }  // namespace ivyfield::discovery
