--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -9,26 +9,26 @@
 
 namespace {
 
-constexpr std::size_t kLongestTitle = 200;
-// What a page of another origin may send and read.
-constexpr const char* kAllowed = "CMCD-Request, CMCD-Object, CMCD-Status, CMCD-Session";
-constexpr const char* kExposed = "CMSD-Dynamic, CMSD-Static, Retry-After";
-constexpr int kPreflightAge_s = 7200;  // the longest that browsers keep one
-
-std::vector<std::string> path_parts(std::string_view path) {
-    std::vector<std::string> out;
+constexpr std::size_t kMaxTitleLength = 200;
+// Headers that pages of other origins may send and read (CORS).
+constexpr const char* kAllowedRequestHeaders = "CMCD-Request, CMCD-Object, CMCD-Status, CMCD-Session";
+constexpr const char* kExposedResponseHeaders = "CMSD-Dynamic, CMSD-Static, Retry-After";
+constexpr int kPreflightMaxAge_s = 7200;  // browsers cache a preflight no longer
+
+std::vector<std::string> split_path(std::string_view path) {
+    std::vector<std::string> parts;
     while (!path.empty()) {
         path.remove_prefix(1);
         const std::size_t slash = std::min(path.find('/'), path.size());
         auto part = http::percent_decode(path.substr(0, slash));
         if (!part) return {};
-        out.push_back(std::move(*part));
+        parts.push_back(std::move(*part));
         path.remove_prefix(slash);
     }
-    return out;
+    return parts;
 }
 
-hints::CmcdSources cmcd_sources(const http::Request& request) {
+hints::CmcdSources collect_cmcd_sources(const http::Request& request) {
     hints::CmcdSources sources;
     for (const auto carrier :
          {hints::Carrier::request, hints::Carrier::object, hints::Carrier::status, hints::Carrier::session})
@@ -39,7 +39,7 @@
 }
 
 template <typename Items>
-int index_of(const Items& items, const std::string& name) {
+int find_index(const Items& items, const std::string& name) {
     for (std::size_t k = 0; k < items.size(); ++k)
         if (items[k].name == name) return static_cast<int>(k);
     return -1;
@@ -56,75 +56,82 @@
 std::string make_master_playlist(const Settings& settings, int cls, int rung, int top,
                                  const core::Media& media) {
     std::vector<hls::Variant> variants;
-    const auto variant = [&](int r) {
-        hls::Variant v;
-        v.bandwidth = v.average_bandwidth = rung_kbps(settings, cls, r) * 1000;
-        if (static_cast<std::size_t>(r) < media.renditions.size()) {
-            v.codecs = media.renditions[static_cast<std::size_t>(r)].codecs;
-            v.resolution = media.renditions[static_cast<std::size_t>(r)].resolution;
+    const auto add_variant = [&](int variant_rung) {
+        hls::Variant variant;
+        variant.bandwidth = variant.average_bandwidth = rung_kbps(settings, cls, variant_rung) * 1000;
+        if (static_cast<std::size_t>(variant_rung) < media.renditions.size()) {
+            variant.codecs = media.renditions[static_cast<std::size_t>(variant_rung)].codecs;
+            variant.resolution = media.renditions[static_cast<std::size_t>(variant_rung)].resolution;
         }
-        v.uri = media.url + std::to_string(r) + "/index.m3u8";
-        variants.push_back(std::move(v));
+        variant.uri = media.url + std::to_string(variant_rung) + "/index.m3u8";
+        variants.push_back(std::move(variant));
     };
-    variant(rung);
-    for (int r = settings.classes[static_cast<std::size_t>(cls)].floor; r <= top; ++r)
-        if (r != rung) variant(r);
+    add_variant(rung);
+    for (int other = settings.classes[static_cast<std::size_t>(cls)].floor; other <= top; ++other)
+        if (other != rung) add_variant(other);
     return hls::write_master(variants);
 }
 
-// One HTTP request that waits for its session's answer.
+// An HTTP request that waits for its session's answer.
 struct HttpFront::PendingRequest : core::Waiter {
     HttpFront& front;
     std::uint64_t number;
     http::ExchangePtr exchange;
     core::Ask ask;
-    io::Time began;
+    io::Time received_at;
     SessionId session = 0;
-    bool done = false;
+    bool finished = false;
 
-    PendingRequest(HttpFront& owner, std::uint64_t n, http::ExchangePtr e, core::Ask a)
-        : front(owner), number(n), exchange(std::move(e)), ask(std::move(a)), began(owner.loop_.now()) {}
+    PendingRequest(HttpFront& owner, std::uint64_t request_number, http::ExchangePtr http_exchange,
+                   core::Ask request)
+        : front(owner),
+          number(request_number),
+          exchange(std::move(http_exchange)),
+          ask(std::move(request)),
+          received_at(owner.loop_.now()) {}
 
-    hints::Keys dynamic_keys() const {
+    hints::Keys make_dynamic_keys() const {
         hints::Keys keys;
-        keys.values["rd"] = static_cast<std::int64_t>(std::llround(front.loop_.now() - began));
+        keys.values["rd"] = static_cast<std::int64_t>(std::llround(front.loop_.now() - received_at));
         return keys;
     }
     void send(http::Response response, const hints::Keys& keys) {
         response.headers.add("CMSD-Dynamic",
                              hints::encode_dynamic({{"ivyfield-" + front.config_.name, keys}}));
         response.headers.add("Cache-Control", "no-store");
-        http::allow_any_origin(response.headers, kExposed);
+        http::allow_any_origin(response.headers, kExposedResponseHeaders);
         exchange->respond(response);
-        done = true;
-        // The engine may still be in the call that told us.
-        front.loop_.post([owner = &front, n = number] { owner->pending_.erase(n); });
+        finished = true;
+        // Deferred: the engine may still be in the call that delivered the answer.
+        front.loop_.post(
+            [owner = &front, request_number = number] { owner->pending_requests_.erase(request_number); });
     }
     void plays(const core::Placement& where) override {
-        const Settings& s = front.config_.settings;
-        hints::Keys keys = dynamic_keys();
-        keys.values["mb"] = rung_kbps(s, ask.cls, where.rung);
-        http::Response r;
-        r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
-        hints::Keys fixed;
-        fixed.values = {{"ot", hints::Token{"m"}}, {"sf", hints::Token{"h"}}};
-        fixed.values["st"] = hints::Token{s.classes[static_cast<std::size_t>(ask.cls)].live ? "l" : "v"};
-        r.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, fixed));
-        const int top =
-            std::max(where.rung, std::min(s.classes[static_cast<std::size_t>(ask.cls)].top, ask.top_rung));
-        r.body = make_master_playlist(s, ask.cls, where.rung, top, where.media);
-        send(std::move(r), keys);
+        const Settings& settings = front.config_.settings;
+        hints::Keys keys = make_dynamic_keys();
+        keys.values["mb"] = rung_kbps(settings, ask.cls, where.rung);
+        http::Response response;
+        response.headers.add("Content-Type", "application/vnd.apple.mpegurl");
+        hints::Keys static_keys;
+        static_keys.values = {{"ot", hints::Token{"m"}}, {"sf", hints::Token{"h"}}};
+        static_keys.values["st"] =
+            hints::Token{settings.classes[static_cast<std::size_t>(ask.cls)].live ? "l" : "v"};
+        response.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, static_keys));
+        const int top = std::max(
+            where.rung, std::min(settings.classes[static_cast<std::size_t>(ask.cls)].top, ask.top_rung));
+        response.body = make_master_playlist(settings, ask.cls, where.rung, top, where.media);
+        send(std::move(response), keys);
     }
     void refused(Time retry_after) override {
-        hints::Keys keys = dynamic_keys();
+        hints::Keys keys = make_dynamic_keys();
         keys.values["du"] = true;
-        http::Response r = http::plain(503, "no room now");
-        // Whole seconds (RFC 9110, 10.2.3), rounded up: sooner would be no better than now.
-        r.headers.add("Retry-After",
-                      std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
-        send(std::move(r), keys);
+        http::Response response = http::plain(503, "no room now");
+        // Whole seconds (RFC 9110, 10.2.3), rounded up: an earlier retry would be no better than one now.
+        response.headers.add("Retry-After",
+                             std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
+        send(std::move(response), keys);
     }
-    void failed() override { send(http::plain(504, "the session could not be set up"), dynamic_keys()); }
+    void failed() override { send(http::plain(504, "the session could not be set up"), make_dynamic_keys()); }
 };
 
 HttpFront::HttpFront(io::Loop& loop, const config::Config& config, core::Engine& engine)
@@ -140,88 +147,91 @@
               limits.parse.body = 64 * 1024;
               return limits;
           }(),
-          [this](const http::ExchangePtr& e) { serve(e); }) {}
+          [this](const http::ExchangePtr& exchange) { handle_request(exchange); }) {}
 HttpFront::~HttpFront() = default;
 
-std::string HttpFront::make_sid() {
+std::string HttpFront::generate_sid() {
     counts_.generated_sids += 1;
-    static constexpr char digits[] = "0123456789abcdef";
-    std::string out;
+    static constexpr char kHexDigits[] = "0123456789abcdef";
+    std::string sid;
     for (int k = 0; k < 2; ++k)
-        for (std::uint64_t bits = loop_.random()(), n = 0; n < 16; ++n, bits >>= 4) out += digits[bits & 15];
-    return out;
+        for (std::uint64_t bits = loop_.random()(), n = 0; n < 16; ++n, bits >>= 4)
+            sid += kHexDigits[bits & 15];
+    return sid;
 }
 
-void HttpFront::serve(const http::ExchangePtr& exchange) {
+void HttpFront::handle_request(const http::ExchangePtr& exchange) {
     counts_.requests += 1;
     const http::Request& request = exchange->request();
-    const auto parts = path_parts(request.path());
-    const auto bad = [&](int code, const char* why) {
+    const auto parts = split_path(request.path());
+    const auto respond_error = [&](int code, const char* why) {
         counts_.bad += 1;
-        http::Response r = http::plain(code, why);
-        http::allow_any_origin(r.headers, kExposed);
-        exchange->respond(r);
+        http::Response response = http::plain(code, why);
+        http::allow_any_origin(response.headers, kExposedResponseHeaders);
+        exchange->respond(response);
     };
     const bool is_watch =
         parts.size() == 6 && parts[0] == "v1" && parts[1] == "watch" && parts[5] == "master.m3u8";
     const bool is_status = parts.size() == 2 && parts[0] == "v1" && parts[1] == "status";
     if (!is_watch && !is_status)
-        return bad(404, "nothing here; players ask /v1/watch/TENANT/CLASS/TITLE/master.m3u8");
+        return respond_error(404, "nothing here; players ask /v1/watch/TENANT/CLASS/TITLE/master.m3u8");
     if (http::is_preflight(request)) {
         counts_.preflights += 1;
-        return exchange->respond(http::preflight_answer(kAllowed, kPreflightAge_s));
+        return exchange->respond(http::preflight_answer(kAllowedRequestHeaders, kPreflightMaxAge_s));
     }
-    if (request.method != "GET") return bad(405, "only GET");
+    if (request.method != "GET") return respond_error(405, "only GET");
     if (is_status) {
-        http::Response r;
-        r.headers.add("Content-Type", "application/json");
-        r.body = render_status ? render_status() : "{}";
-        return exchange->respond(r);
+        http::Response response;
+        response.headers.add("Content-Type", "application/json");
+        response.body = render_status ? render_status() : "{}";
+        return exchange->respond(response);
     }
-    watch(exchange, parts[2], parts[3], parts[4]);
+    handle_watch(exchange, parts[2], parts[3], parts[4]);
 }
 
-void HttpFront::watch(const http::ExchangePtr& exchange, const std::string& tenant, const std::string& cls,
-                      const std::string& title) {
-    const Settings& s = config_.settings;
+void HttpFront::handle_watch(const http::ExchangePtr& exchange, const std::string& tenant,
+                             const std::string& cls, const std::string& title) {
+    const Settings& settings = config_.settings;
     core::Ask ask;
-    ask.tenant = index_of(s.tenants, tenant);
-    ask.cls = index_of(s.classes, cls);
-    if (ask.tenant < 0 || ask.cls < 0 || title.empty() || title.size() > kLongestTitle) {
+    ask.tenant = find_index(settings.tenants, tenant);
+    ask.cls = find_index(settings.classes, cls);
+    if (ask.tenant < 0 || ask.cls < 0 || title.empty() || title.size() > kMaxTitleLength) {
         counts_.bad += 1;
-        http::Response r = http::plain(404, ask.tenant < 0 ? "no such tenant"
-                                            : ask.cls < 0  ? "no such class"
-                                                           : "no such title");
-        http::allow_any_origin(r.headers, kExposed);
-        return exchange->respond(r);
+        http::Response response = http::plain(404, ask.tenant < 0 ? "no such tenant"
+                                                   : ask.cls < 0  ? "no such class"
+                                                                  : "no such title");
+        http::allow_any_origin(response.headers, kExposedResponseHeaders);
+        return exchange->respond(response);
     }
-    const hints::Decoded cmcd = hints::decode_cmcd(cmcd_sources(exchange->request()));
+    const hints::Decoded cmcd = hints::decode_cmcd(collect_cmcd_sources(exchange->request()));
     counts_.hints_dropped += cmcd.dropped.size();
     ask.sid = cmcd.keys.text("sid").value_or("");
-    if (ask.sid.empty()) ask.sid = make_sid();
+    if (ask.sid.empty()) ask.sid = generate_sid();
     ask.title_name = title;
     ask.title = core::title_id(title);
     ask.cell_count = config_.copies;
-    ask.first_cell = s.cells > 0 ? static_cast<int>(ask.title % static_cast<std::uint64_t>(s.cells)) : 0;
-    const ClassSettings& c = s.classes[static_cast<std::size_t>(ask.cls)];
-    ask.top_rung = c.top;
-    // tb: the highest rate that this player can use. Under the lowest rung it can use none; it gets the
-    // floor.
+    ask.first_cell =
+        settings.cells > 0 ? static_cast<int>(ask.title % static_cast<std::uint64_t>(settings.cells)) : 0;
+    const ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(ask.cls)];
+    ask.top_rung = class_settings.top;
+    // tb is the highest bitrate that this player can use. If even the class's lowest rung is above it, the
+    // player can use none and gets the lowest.
     if (const auto top = cmcd.keys.integer("tb")) {
-        while (ask.top_rung > c.floor && rung_kbps(s, ask.cls, ask.top_rung) > *top) ask.top_rung -= 1;
+        while (ask.top_rung > class_settings.floor && rung_kbps(settings, ask.cls, ask.top_rung) > *top)
+            ask.top_rung -= 1;
     }
-    const std::uint64_t number = ++next_;
+    const std::uint64_t number = ++last_request_number_;
     auto owned = std::make_unique<PendingRequest>(*this, number, exchange, ask);
     PendingRequest& pending = *owned;
-    pending_.emplace(number, std::move(owned));
+    pending_requests_.emplace(number, std::move(owned));
     exchange->on_gone([this, number] {
-        const auto it = pending_.find(number);
-        if (it == pending_.end() || it->second->done) return;
+        const auto it = pending_requests_.find(number);
+        if (it == pending_requests_.end() || it->second->finished) return;
         counts_.gone += 1;
-        PendingRequest& p = *it->second;
-        p.done = true;
-        engine_.leave(p.session, &p);
-        loop_.post([this, number] { pending_.erase(number); });
+        PendingRequest& request = *it->second;
+        request.finished = true;
+        engine_.leave(request.session, &request);
+        loop_.post([this, number] { pending_requests_.erase(number); });
     });
     const SessionId session = engine_.open(ask, &pending);
     pending.session = session;
