--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -19,7 +19,7 @@
 constexpr io::Time kStatusInterval = 5000;
 constexpr io::Time kFullListInterval = 1000;
 // Invalid set-ups beyond this number are counted but not logged, so that a faulty client can't fill the log.
-constexpr int kMaxLoggedInvalidSetUps = 20;
+constexpr int kMaxLoggedInvalidSetups = 20;
 constexpr std::size_t kRetainedNodeNames = 64;  // of nodes that left the list, for the log
 
 // Hashes a node's uid, so that every director uses the same id for it. The address is not part of it: a node
@@ -46,7 +46,7 @@
           loop, config.listen, config.settings, {config.classes, config.tenants},
           [&] {
               fronts::RelayFrontLimits limits;
-              limits.intake.connections = config.sockets * 2 / 5;
+              limits.admission.max_connections = config.sockets * 2 / 5;
               return limits;
           }(),
           engine_),
@@ -57,14 +57,14 @@
       members_(config.members) {
     nodes_.attach(&engine_);
     update_nodes();
-    engine_.on_end = [this](const core::SessionRecord& record) { log_session(record); };
-    engine_.on_remark = [this](const std::string& text) {
+    engine_.on_session_record = [this](const core::SessionRecord& record) { log_session(record); };
+    engine_.on_director_log = [this](const std::string& text) {
         log_event(log::Level::info, "module", {{"text", text}});
     };
-    engine_.on_slip = [this](const std::string& history) {
+    engine_.on_invariant_violation = [this](const std::string& history) {
         log_event(log::Level::error, "broken invariant", {{"history", history}});
     };
-    engine_.on_gone = [this](SessionId id, bool owed, bool moved) {
+    engine_.on_session_terminated = [this](SessionId id, bool owed, bool moved) {
         front_.handle_session_end(id, owed, moved);
     };
     nodes_.on_remark = [this](const std::string& text) {
@@ -74,24 +74,24 @@
         if (!members_.count(uid)) return std::nullopt;
         return make_server_id(uid);
     };
-    front_.adopt_session = [this](const core::Ask& ask, ServerId server) {
-        if (!engine_.adopt(ask, server)) return false;
-        nodes_.adopt(server, *ask.number, 0);
+    front_.adopt_session = [this](const core::ViewerRequest& request, ServerId server) {
+        if (!engine_.adopt_session(request, server)) return false;
+        nodes_.adopt(server, *request.preassigned_id, 0);
         return true;
     };
-    front_.on_invalid_set_up = [this](const std::string& why, const relay::ViewerMessage& message) {
-        if (logged_invalid_set_ups_ >= kMaxLoggedInvalidSetUps) return;
-        logged_invalid_set_ups_ += 1;
+    front_.on_invalid_setup = [this](const std::string& why, const relay::ViewerMessage& message) {
+        if (logged_invalid_setups_ >= kMaxLoggedInvalidSetups) return;
+        logged_invalid_setups_ += 1;
         log_event(log::Level::warning, "bad set-up", {{"why", why}, {"fields", message.fields}});
     };
     front_.on_connection_closed = [this](const fronts::ClosedConnection& closed) {
         json line = {{"connection", closed.number},
                      {"reason", fronts::name(closed.reason)},
-                     {"open", closed.pending_set_ups}};
+                     {"open", closed.pending_setups}};
         if (closed.since_last_answer) line["since_answer_ms"] = *closed.since_last_answer;
         log_event(log::Level::info, "client connection closed", line);
     };
-    front_.on_first_set_up = [this] { start_engine(); };
+    front_.on_first_setup = [this] { start_engine(); };
     log_event(log::Level::info, "started",
               {{"listen", front_.address().text()}, {"list", config.dns.text()}, {"nodes", members_.size()}});
     status_timer_ = loop_.after(kStatusInterval, [this] { log_status(); });
@@ -101,10 +101,10 @@
     status_timer_ = loop_.after(kStatusInterval, [this] { log_status(); });
 }
 RelayProcess::~RelayProcess() {
-    engine_.on_end = nullptr;
-    engine_.on_remark = nullptr;
-    engine_.on_slip = nullptr;
-    engine_.on_gone = nullptr;
+    engine_.on_session_record = nullptr;
+    engine_.on_director_log = nullptr;
+    engine_.on_invariant_violation = nullptr;
+    engine_.on_session_terminated = nullptr;
     front_.on_connection_closed = nullptr;
     nodes_.on_remark = nullptr;
 }
@@ -121,7 +121,7 @@
     ServerList list;
     list.kind = ListKind::saved;
     for (const auto& [uid, member] : members_) list.entries.push_back(make_entry(member));
-    engine_.take_list(list);
+    engine_.update_server_list(list);
 }
 
 ServerEntry RelayProcess::make_entry(const discovery::Member& member) const {
@@ -176,7 +176,7 @@
     }
     members_ = members;
     update_nodes();
-    if (engine_started_ && !changes.entries.empty()) engine_.take_list(changes);
+    if (engine_started_ && !changes.entries.empty()) engine_.update_server_list(changes);
     log_event(log::Level::info, "list", {{"nodes", members.size()}, {"changed", changes.entries.size()}});
 }
 
@@ -188,7 +188,7 @@
     ServerList list;
     list.kind = ListKind::full;
     for (const auto& [uid, member] : members_) list.entries.push_back(make_entry(member));
-    engine_.take_list(list);
+    engine_.update_server_list(list);
 }
 
 void RelayProcess::reload(const config::RelayConfig& config) {
@@ -201,16 +201,17 @@
     if (shutdown_) return;
     on_stopped_ = std::move(done);
     shutdown_.emplace(config_.settings, loop_.now());
-    engine_.answer_by(shutdown_->answer_by());
+    engine_.set_answer_deadline(shutdown_->answer_deadline());
     front_.begin_shutdown(*shutdown_);
-    log_event(log::Level::info, "stopping", {{"owed", engine_.owed()}});
+    log_event(log::Level::info, "stopping", {{"owed", engine_.unanswered_sessions()}});
     continue_shutdown();
 }
 void RelayProcess::continue_shutdown() {
     front_.end_drained_connections();
-    const decide::Unfinished unfinished{engine_.owed(), !front_.has_sent_all_output() || !nodes_.drained(),
-                                        front_.connection_count(), front_.last_received_at()};
-    if (!shutdown_->leaves(loop_.now(), unfinished)) {
+    const decide::PendingWork pending{engine_.unanswered_sessions(),
+                                      !front_.has_sent_all_output() || !nodes_.drained(),
+                                      front_.connection_count(), front_.last_received()};
+    if (!shutdown_->should_exit(loop_.now(), pending)) {
         stop_timer_ = loop_.after(kShutdownCheckInterval, [this] { continue_shutdown(); });
         return;
     }
@@ -227,12 +228,12 @@
         return it == node_names_.end() ? relay::hex(id) : it->second;
     });
     line["id"] = relay::hex(record.id);
-    line["class"] = config_.classes[static_cast<std::size_t>(record.ask.cls)];
+    line["class"] = config_.classes[static_cast<std::size_t>(record.request.cls)];
     log_event(log::Level::info, "session", line);
 }
 
 json RelayProcess::status() const {
-    const core::Counts& engine = engine_.counts();
+    const core::EngineCounts& engine = engine_.counts();
     const fronts::RelayFrontCounts& front = front_.counts();
     const nodes::RelayCounts& nodes = nodes_.counts();
     const discovery::SrvCounts& list = srv_poller_.counts();
@@ -241,22 +242,22 @@
         if (front.closed[reason] > 0)
             closed[fronts::name(static_cast<fronts::CloseReason>(reason))] = front.closed[reason];
     return {{"sessions",
-             {{"taken", engine.taken},
-              {"played", engine.played},
-              {"refused", engine.refused},
+             {{"taken", engine.accepted},
+              {"played", engine.established},
+              {"refused", engine.rejected},
               {"failed", engine.failed},
               {"abandoned", engine.abandoned},
-              {"late", engine.late},
+              {"late", engine.missed_deadlines},
               {"attempts", engine.attempts},
               {"retried", engine.retries},
               {"lost", engine.reset},
-              {"slips", engine.slips},
+              {"slips", engine.invariant_violations},
               {"ends_crossing_answers", engine.ends_crossing_answers},
               {"open", engine_.open_sessions()},
-              {"playing", engine_.playing()}}},
+              {"playing", engine_.established_sessions()}}},
             {"viewers",
              {{"connections", front_.connection_count()},
-              {"set_ups", front.set_ups},
+              {"set_ups", front.setups},
               {"closed", closed},
               {"unreadable", front.unreadable},
               {"bad", front.bad},
--- a/src/cli/relay.hpp
+++ b/src/cli/relay.hpp
@@ -56,9 +56,9 @@
     std::deque<ServerId> node_name_order_;  // the keys of node_names_, first to be dropped first
     bool engine_started_ = false;
     io::Time full_list_at_ = 0;
-    int logged_invalid_set_ups_ = 0;
+    int logged_invalid_setups_ = 0;
     std::function<void()> on_stopped_;
-    std::optional<decide::Shutdown> shutdown_;
+    std::optional<decide::GracefulShutdown> shutdown_;
     io::Timer stop_timer_, status_timer_;
 };
 
--- a/src/discovery/srv/srv.cpp
+++ b/src/discovery/srv/srv.cpp
@@ -205,7 +205,7 @@
       query_(build_srv_query(name, 0)),
       serial_(known_serial),
       events_(std::move(events)),
-      polling_(loop.now()) {
+      poll_schedule_(loop.now()) {
     const char* any = server.host.find(':') == std::string::npos ? "0.0.0.0" : "::";
     socket_ = loop.datagram(
         {any, 0}, [this](const io::Address& from, std::string_view bytes) { handle_datagram(from, bytes); });
@@ -216,12 +216,12 @@
     if (server == server_) return;
     server_ = server;
     open_queries_.clear();
-    polling_ = decide::Polling(loop_.now());
+    poll_schedule_ = decide::PollSchedule(loop_.now());
     query_timer_ = loop_.after(0, [this] { send_query(); });
 }
 
 void SrvPoller::send_query() {
-    query_timer_ = loop_.after(polling_.next(loop_.now()), [this] { send_query(); });
+    query_timer_ = loop_.after(poll_schedule_.next_interval(loop_.now()), [this] { send_query(); });
     const auto id = static_cast<std::uint16_t>(loop_.random()());
     if (open_queries_.size() >= kMaxOpenQueries) open_queries_.pop_front(), counts_.unanswered += 1;
     open_queries_.push_back({id, loop_.now()});
@@ -243,7 +243,7 @@
         counts_.bad += 1;
         return;
     }
-    const bool fresh = decide::Polling::fresh(it->sent_at, loop_.now());
+    const bool fresh = decide::PollSchedule::is_fresh(it->sent_at, loop_.now());
     // An unchanged response is not parsed again: parsing costs as much as about ten answers to clients, and
     // responses come four times a second, most of them without anything new.
     if (!last_response_.empty() && bytes.substr(kMessageIdSize) == last_response_) {
@@ -261,20 +261,20 @@
 
 void SrvPoller::handle_response(const SrvResponse& answer, std::string_view bytes, bool fresh) {
     if (answer.serial < serial_) {
-        polling_.heard(loop_.now());
+        poll_schedule_.record_answer(loop_.now());
         counts_.older += 1;
         return;
     }
     last_response_ = bytes.substr(kMessageIdSize);
     if (answer.serial == serial_) return confirm_list(fresh);
-    polling_.heard(loop_.now());
+    poll_schedule_.record_answer(loop_.now());
     counts_.taken += 1;
     serial_ = answer.serial;
     events_.on_changed(answer.members);
 }
 
 void SrvPoller::confirm_list(bool fresh) {
-    polling_.heard(loop_.now());
+    poll_schedule_.record_answer(loop_.now());
     counts_.same += 1;
     if (fresh) events_.on_confirmed();
 }
--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "decide/polling.hpp"
+#include "decide/poll_schedule.hpp"
 #include "io/loop.hpp"
 #include "ivyfield/director.hpp"
 
@@ -85,7 +85,7 @@
         io::Time sent_at;
     };
     std::deque<Query> open_queries_;  // oldest first
-    decide::Polling polling_;
+    decide::PollSchedule poll_schedule_;
     io::Timer query_timer_;
     SrvCounts counts_;
     std::string last_error_;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -73,21 +73,21 @@
 }
 
 // An HTTP request that waits for its session's answer.
-struct HttpFront::PendingRequest : core::Waiter {
+struct HttpFront::PendingRequest : core::AnswerHandler {
     HttpFront& front;
     std::uint64_t number;
     http::ExchangePtr exchange;
-    core::Ask ask;
+    core::ViewerRequest request;
     io::Time received_at;
     SessionId session = 0;
     bool finished = false;
 
     PendingRequest(HttpFront& owner, std::uint64_t request_number, http::ExchangePtr http_exchange,
-                   core::Ask request)
+                   core::ViewerRequest viewer_request)
         : front(owner),
           number(request_number),
           exchange(std::move(http_exchange)),
-          ask(std::move(request)),
+          request(std::move(viewer_request)),
           received_at(owner.loop_.now()) {}
 
     hints::Keys make_dynamic_keys() const {
@@ -106,23 +106,24 @@
         front.loop_.post(
             [owner = &front, request_number = number] { owner->pending_requests_.erase(request_number); });
     }
-    void plays(const core::Placement& where) override {
+    void on_established(const core::Placement& where) override {
         const Settings& settings = front.config_.settings;
         hints::Keys keys = make_dynamic_keys();
-        keys.values["mb"] = rung_kbps(settings, ask.cls, where.rung);
+        keys.values["mb"] = rung_kbps(settings, request.cls, where.rung);
         http::Response response;
         response.headers.add("Content-Type", "application/vnd.apple.mpegurl");
         hints::Keys static_keys;
         static_keys.values = {{"ot", hints::Token{"m"}}, {"sf", hints::Token{"h"}}};
         static_keys.values["st"] =
-            hints::Token{settings.classes[static_cast<std::size_t>(ask.cls)].live ? "l" : "v"};
+            hints::Token{settings.classes[static_cast<std::size_t>(request.cls)].live ? "l" : "v"};
         response.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, static_keys));
-        const int top = std::max(
-            where.rung, std::min(settings.classes[static_cast<std::size_t>(ask.cls)].top, ask.top_rung));
-        response.body = make_master_playlist(settings, ask.cls, where.rung, top, where.media);
+        const int top =
+            std::max(where.rung,
+                     std::min(settings.classes[static_cast<std::size_t>(request.cls)].top, request.top_rung));
+        response.body = make_master_playlist(settings, request.cls, where.rung, top, where.media);
         send(std::move(response), keys);
     }
-    void refused(Time retry_after) override {
+    void on_rejected(Time retry_after) override {
         hints::Keys keys = make_dynamic_keys();
         keys.values["du"] = true;
         http::Response response = http::plain(503, "no room now");
@@ -131,7 +132,9 @@
                              std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
         send(std::move(response), keys);
     }
-    void failed() override { send(http::plain(504, "the session could not be set up"), make_dynamic_keys()); }
+    void on_failed() override {
+        send(http::plain(504, "the session could not be set up"), make_dynamic_keys());
+    }
 };
 
 HttpFront::HttpFront(io::Loop& loop, const config::Config& config, core::Engine& engine)
@@ -192,48 +195,49 @@
 void HttpFront::handle_watch(const http::ExchangePtr& exchange, const std::string& tenant,
                              const std::string& cls, const std::string& title) {
     const Settings& settings = config_.settings;
-    core::Ask ask;
-    ask.tenant = find_index(settings.tenants, tenant);
-    ask.cls = find_index(settings.classes, cls);
-    if (ask.tenant < 0 || ask.cls < 0 || title.empty() || title.size() > kMaxTitleLength) {
+    core::ViewerRequest request;
+    request.tenant = find_index(settings.tenants, tenant);
+    request.cls = find_index(settings.classes, cls);
+    if (request.tenant < 0 || request.cls < 0 || title.empty() || title.size() > kMaxTitleLength) {
         counts_.bad += 1;
-        http::Response response = http::plain(404, ask.tenant < 0 ? "no such tenant"
-                                                   : ask.cls < 0  ? "no such class"
-                                                                  : "no such title");
+        http::Response response = http::plain(404, request.tenant < 0 ? "no such tenant"
+                                                   : request.cls < 0  ? "no such class"
+                                                                      : "no such title");
         http::allow_any_origin(response.headers, kExposedResponseHeaders);
         return exchange->respond(response);
     }
     const hints::Decoded cmcd = hints::decode_cmcd(collect_cmcd_sources(exchange->request()));
     counts_.hints_dropped += cmcd.dropped.size();
-    ask.sid = cmcd.keys.text("sid").value_or("");
-    if (ask.sid.empty()) ask.sid = generate_sid();
-    ask.title_name = title;
-    ask.title = core::title_id(title);
-    ask.cell_count = config_.copies;
-    ask.first_cell =
-        settings.cells > 0 ? static_cast<int>(ask.title % static_cast<std::uint64_t>(settings.cells)) : 0;
-    const ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(ask.cls)];
-    ask.top_rung = class_settings.top;
+    request.sid = cmcd.keys.text("sid").value_or("");
+    if (request.sid.empty()) request.sid = generate_sid();
+    request.title_name = title;
+    request.title = core::compute_title_id(title);
+    request.cell_count = config_.copies;
+    request.first_cell =
+        settings.cells > 0 ? static_cast<int>(request.title % static_cast<std::uint64_t>(settings.cells)) : 0;
+    const ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(request.cls)];
+    request.top_rung = class_settings.top;
     // tb is the highest bitrate that this player can use. If even the class's lowest rung is above it, the
     // player can use none and gets the lowest.
     if (const auto top = cmcd.keys.integer("tb")) {
-        while (ask.top_rung > class_settings.floor && rung_kbps(settings, ask.cls, ask.top_rung) > *top)
-            ask.top_rung -= 1;
+        while (request.top_rung > class_settings.floor &&
+               rung_kbps(settings, request.cls, request.top_rung) > *top)
+            request.top_rung -= 1;
     }
     const std::uint64_t number = ++last_request_number_;
-    auto owned = std::make_unique<PendingRequest>(*this, number, exchange, ask);
+    auto owned = std::make_unique<PendingRequest>(*this, number, exchange, request);
     PendingRequest& pending = *owned;
     pending_requests_.emplace(number, std::move(owned));
     exchange->on_gone([this, number] {
         const auto it = pending_requests_.find(number);
         if (it == pending_requests_.end() || it->second->finished) return;
         counts_.gone += 1;
-        PendingRequest& request = *it->second;
-        request.finished = true;
-        engine_.leave(request.session, &request);
+        PendingRequest& abandoned = *it->second;
+        abandoned.finished = true;
+        engine_.withdraw_request(abandoned.session, &abandoned);
         loop_.post([this, number] { pending_requests_.erase(number); });
     });
-    const SessionId session = engine_.open(ask, &pending);
+    const SessionId session = engine_.open_session(request, &pending);
     pending.session = session;
 }
 
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "decide/endings.hpp"
+#include "decide/session_end.hpp"
 
 namespace ivyfield::fronts {
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-// Causes of the releases that the director sends. kCauseRefused tells the client that a retry is safe; the
+// Causes of the releases that the director sends. kCauseRejected tells the client that a retry is safe; the
 // others report a failure.
-constexpr int kCauseRefused = relay::kCauseFull, kCauseFailed = relay::kCauseError, kCauseUnusable = 100,
+constexpr int kCauseRejected = relay::kCauseFull, kCauseFailed = relay::kCauseError, kCauseUnusable = 100,
               kCauseSessionOver = 16;
 constexpr io::Time kSweepInterval = 250;  // ms
 
@@ -62,25 +62,25 @@
     RelayFront& owner;
     std::unique_ptr<io::Stream> stream;
     relay::LineDecoder decoder;
-    std::set<SessionId> pending_set_ups;  // set-ups to be answered on it
-    std::set<SessionId> established;      // sessions set up on it and not yet ended
-    bool received_valid_set_up = false;   // a well-formed set-up has been received on it
-    bool received_ping = false;           // a ping has been received and answered on it
-    bool closing = false;                 // our end has been sent; input is discarded
+    std::set<SessionId> pending_setups;  // set-ups to be answered on it
+    std::set<SessionId> established;     // sessions set up on it and not yet ended
+    bool has_carried_setup = false;      // a well-formed set-up has been received on it
+    bool received_ping = false;          // a ping has been received and answered on it
+    bool closing = false;                // our end has been sent; input is discarded
     bool rejects_set_ups = false;    // after a repeated session number; closed once nothing is pending on it
     bool output_overflowed = false;  // the client does not read; about to be dropped
-    struct SentNotification {
+    struct SentEndNotice {
         io::Time sent_at;
-        Notification notification;
+        EndNotice notice;
     };
     // Sent so recently that they may cross the close of this connection; sent again elsewhere in that case.
-    std::deque<SentNotification> recent_notifications;
+    std::deque<SentEndNotice> recent_end_notices;
     bool removed = false;
     bool close_counted = false;
     std::uint64_t number = 0;  // in the order of acceptance, from 1
     std::optional<io::Time> last_answered_at;
-    bool received_data = false;
-    io::Time accepted_at = 0, last_used_at = 0, closing_since = 0;
+    bool has_received_message = false;
+    io::Time accepted_at = 0, last_used = 0, closing_since = 0;
 
     explicit Connection(RelayFront& front) : owner(front) {}
     void on_data(std::string_view bytes) override { owner.handle_data(*this, bytes); }
@@ -91,7 +91,7 @@
 };
 
 // A set-up that waits for its answer.
-struct RelayFront::Request : core::Waiter {
+struct RelayFront::Request : core::AnswerHandler {
     RelayFront& owner;
     SessionId session;
     std::string id_text;  // the session number as the client wrote it
@@ -99,7 +99,7 @@
 
     Request(RelayFront& front, SessionId number, std::string text, Connection* from)
         : owner(front), session(number), id_text(std::move(text)), connection(from) {}
-    void plays(const core::Placement& where) override {
+    void on_established(const core::Placement& where) override {
         ViewerMessage message;
         message.type = Type::answer, message.id = id_text, message.sdp = where.media.description;
         Connection* client = connection;
@@ -110,14 +110,14 @@
         owner.send_message(*client, message);
         owner.close_if_done(*client);
     }
-    void refused(Time retry_after) override {
+    void on_rejected(Time retry_after) override {
         Connection* client = connection;
         const std::string text = id_text;
         owner.finish_request(session);
-        owner.send_release(*client, text, kCauseRefused, retry_after);
+        owner.send_release(*client, text, kCauseRejected, retry_after);
         owner.close_if_done(*client);
     }
-    void failed() override {
+    void on_failed() override {
         Connection* client = connection;
         const std::string text = id_text;
         owner.finish_request(session);
@@ -136,7 +136,7 @@
     // Abandoning one request may cause the engine to answer others, so the map is read anew each time.
     while (!requests_.empty()) {
         const SessionId id = requests_.begin()->first;
-        engine_.leave(id, requests_.begin()->second.get());
+        engine_.withdraw_request(id, requests_.begin()->second.get());
         finish_request(id);
     }
 }
@@ -144,7 +144,7 @@
 // ---- Connections ----
 
 void RelayFront::accept_connection(std::unique_ptr<io::Stream> stream) {
-    last_received_at_ = loop_.now();
+    last_received_ = loop_.now();
     if (!make_room()) {  // closed without sending anything: the client knows that nothing was accepted
         counts_.turned_away += 1;
         return;
@@ -153,21 +153,21 @@
     auto owned = std::make_unique<Connection>(*this);
     owned->stream = std::move(stream);
     owned->number = counts_.connections;
-    owned->accepted_at = owned->last_used_at = loop_.now();
+    owned->accepted_at = owned->last_used = loop_.now();
     owned->stream->set_handler(owned.get());
     connections_.push_back(std::move(owned));
 }
 
 bool RelayFront::make_room() {
-    while (connections_.size() >= limits_.intake.connections) {
+    while (connections_.size() >= limits_.admission.max_connections) {
         std::vector<Connection*> connections;
-        std::vector<decide::Held> states;
+        std::vector<decide::ConnectionLoad> states;
         for (const auto& connection : connections_) {
             connections.push_back(connection.get());
-            states.push_back({connection->pending_set_ups.size(), connection->received_valid_set_up,
-                              connection->last_used_at});
+            states.push_back(
+                {connection->pending_setups.size(), connection->has_carried_setup, connection->last_used});
         }
-        const auto index = decide::gives_way(states);
+        const auto index = decide::select_eviction(states);
         if (!index) return false;
         evict(*connections[*index]);
     }
@@ -178,7 +178,7 @@
 // written is still sent: a stream that has been ended is not reset when it is destroyed.
 void RelayFront::evict(Connection& connection) {
     connection.stream->receive_arrived();
-    if (connection.removed || !connection.pending_set_ups.empty()) return;
+    if (connection.removed || !connection.pending_setups.empty()) return;
     connection.stream->end();
     counts_.shed += 1;
     remove_connection(connection, CloseReason::evicted);
@@ -189,16 +189,16 @@
 void RelayFront::record_close(Connection& connection, CloseReason reason) {
     if (std::exchange(connection.close_counted, true)) return;
     counts_.closed[static_cast<std::size_t>(reason)] += 1;
-    ClosedConnection closed{connection.number, reason, connection.pending_set_ups.size(), std::nullopt};
+    ClosedConnection closed{connection.number, reason, connection.pending_setups.size(), std::nullopt};
     if (connection.last_answered_at) closed.since_last_answer = loop_.now() - *connection.last_answered_at;
     const bool crosses_answer =
-        closed.since_last_answer && decide::may_have_crossed(*closed.since_last_answer);
-    if (on_connection_closed && (closed.pending_set_ups > 0 || crosses_answer)) on_connection_closed(closed);
+        closed.since_last_answer && decide::can_have_crossed(*closed.since_last_answer);
+    if (on_connection_closed && (closed.pending_setups > 0 || crosses_answer)) on_connection_closed(closed);
 }
 
 void RelayFront::handle_client_close(Connection& connection, CloseReason reason) {
     record_close(connection, reason);
-    abandon_pending_set_ups(connection);
+    abandon_pending_setups(connection);
     remove_connection(connection, reason);
 }
 
@@ -213,11 +213,11 @@
     // Free the descriptor now: in a burst of new connections, evicted ones must not keep theirs until the end
     // of the event loop's turn.
     connection.stream.reset();
-    const auto recent = std::move(connection.recent_notifications);
+    const auto recent = std::move(connection.recent_end_notices);
     removed_connections_.push_back(std::move(*it));
     connections_.erase(it);
     for (const auto& one : recent)
-        if (decide::may_have_crossed(loop_.now() - one.sent_at)) queue_notification(one.notification);
+        if (decide::can_have_crossed(loop_.now() - one.sent_at)) queue_end_notice(one.notice);
     if (cleanup_posted_) return;
     cleanup_posted_ = true;
     loop_.post([this] {
@@ -232,31 +232,31 @@
 void RelayFront::close_gracefully(Connection& connection, CloseReason reason) {
     if (connection.removed || connection.closing) return;
     record_close(connection, reason);
-    abandon_pending_set_ups(connection);
+    abandon_pending_setups(connection);
     connection.closing = true;
     connection.closing_since = loop_.now();
     connection.stream->end();
 }
 
-void RelayFront::abandon_pending_set_ups(Connection& connection) {
-    const auto pending = std::move(connection.pending_set_ups);
-    connection.pending_set_ups.clear();
+void RelayFront::abandon_pending_setups(Connection& connection) {
+    const auto pending = std::move(connection.pending_setups);
+    connection.pending_setups.clear();
     for (const SessionId id : pending) {
         const auto it = requests_.find(id);
         if (it == requests_.end()) continue;  // answered when another of them was abandoned
         counts_.gave_up += 1;
-        engine_.leave(id, it->second.get());
+        engine_.withdraw_request(id, it->second.get());
         finish_request(id);
     }
 }
 
 void RelayFront::sweep() {
-    send_pending_notifications();
+    send_pending_end_notices();
     std::vector<Connection*> expired;
     for (const auto& connection : connections_) {
         if (connection->closing ? loop_.now() - connection->closing_since > limits_.linger
-                                : connection->pending_set_ups.empty() && connection->established.empty() &&
-                                      loop_.now() - connection->last_used_at > limits_.idle_timeout)
+                                : connection->pending_setups.empty() && connection->established.empty() &&
+                                      loop_.now() - connection->last_used > limits_.idle_timeout)
             expired.push_back(connection.get());
     }
     for (Connection* connection : expired) {
@@ -269,12 +269,12 @@
 
 void RelayFront::close_if_idle(Connection& connection) {
     connection.stream->receive_arrived();
-    if (!connection.removed && connection.pending_set_ups.empty())
+    if (!connection.removed && connection.pending_setups.empty())
         close_gracefully(connection, CloseReason::idle);
 }
 
 void RelayFront::close_if_done(Connection& connection) {
-    if (!connection.removed && connection.rejects_set_ups && connection.pending_set_ups.empty())
+    if (!connection.removed && connection.rejects_set_ups && connection.pending_setups.empty())
         return close_gracefully(connection, CloseReason::repeated_number);
     if (!shutdown_ || drain_check_posted_ || !is_drained(connection)) return;
     // Deferred: this call may come from within a decision of the module, and the check reads more input.
@@ -285,12 +285,13 @@
     });
 }
 
-void RelayFront::begin_shutdown(const decide::Shutdown& shutdown) { shutdown_ = shutdown; }
+void RelayFront::begin_shutdown(const decide::GracefulShutdown& shutdown) { shutdown_ = shutdown; }
 
 bool RelayFront::is_drained(const Connection& connection) const {
     if (connection.removed || connection.closing) return false;
-    return shutdown_->ends_connection(
-        loop_.now(), {connection.pending_set_ups.size(), connection.received_data, connection.accepted_at});
+    return shutdown_->should_close_connection(
+        loop_.now(),
+        {connection.pending_setups.size(), connection.has_received_message, connection.accepted_at});
 }
 
 void RelayFront::end_drained_connections() {
@@ -322,7 +323,7 @@
 
 void RelayFront::send_message(Connection& connection, const ViewerMessage& message) {
     if (connection.removed) return;
-    connection.last_used_at = loop_.now();
+    connection.last_used = loop_.now();
     if (connection.output_overflowed) return;
     connection.stream->write(relay::write_line(message));
     if (connection.stream->pending() <= limits_.max_unsent_output) return;
@@ -334,7 +335,7 @@
         for (const auto& one : connections_) {
             if (one.get() != target || !one->output_overflowed) continue;
             record_close(*target, CloseReason::unread_output);
-            abandon_pending_set_ups(*target);
+            abandon_pending_setups(*target);
             return remove_connection(*target, CloseReason::unread_output);
         }
     });
@@ -349,11 +350,11 @@
 // ---- Messages from clients ----
 
 void RelayFront::handle_data(Connection& connection, std::string_view bytes) {
-    last_received_at_ = loop_.now();
+    last_received_ = loop_.now();
     if (connection.closing) return;
-    connection.last_used_at = loop_.now();
+    connection.last_used = loop_.now();
     while (!connection.removed && !connection.closing && !bytes.empty()) {
-        connection.received_data = true;
+        connection.has_received_message = true;
         const auto line = connection.decoder.next(bytes);
         if (connection.decoder.too_long()) {
             counts_.unreadable += 1;
@@ -377,7 +378,7 @@
     const auto& message = std::get<ViewerMessage>(read);
     switch (message.type) {
         case Type::setup:
-            return handle_set_up(connection, message);
+            return handle_setup(connection, message);
         case Type::release:
             return handle_release(connection, message);
         case Type::ping: {
@@ -396,10 +397,10 @@
     }
 }
 
-// Fills `ask`, and `node_uid` with the node that already plays a session that is handed over (else empty).
-// Returns what is wrong with the set-up, or an empty string.
-std::string RelayFront::parse_set_up(const ViewerMessage& message, core::Ask& ask,
-                                     std::string& node_uid) const {
+// Fills `request`, and `node_uid` with the node that already plays a session that is handed over (else
+// empty). Returns what is wrong with the set-up, or an empty string.
+std::string RelayFront::parse_setup(const ViewerMessage& message, core::ViewerRequest& request,
+                                    std::string& node_uid) const {
     const auto field = [&](const char* name) {
         const auto it = message.fields.find(name);
         return it == message.fields.end() ? std::string() : it->second;
@@ -408,20 +409,20 @@
         const auto it = std::find(names.begin(), names.end(), name);
         return it == names.end() ? -1 : static_cast<int>(it - names.begin());
     };
-    ask.number = message.session;
-    ask.cls_name = field("class");
-    ask.cls = find_index(names_.classes, ask.cls_name);
-    if (ask.cls < 0) return "no such class";
+    request.preassigned_id = message.session;
+    request.cls_name = field("class");
+    request.cls = find_index(names_.classes, request.cls_name);
+    if (request.cls < 0) return "no such class";
     if (!names_.tenants.empty()) {
-        ask.tenant = find_index(names_.tenants, field("tenant"));
-        if (ask.tenant < 0) return "no such tenant";
+        request.tenant = find_index(names_.tenants, field("tenant"));
+        if (request.tenant < 0) return "no such tenant";
     }
-    ask.title_name = field("key");
-    const auto title = relay::read_hex(ask.title_name);
+    request.title_name = field("key");
+    const auto title = relay::read_hex(request.title_name);
     if (!title) return "key is not a title number";
-    ask.title = *title;
+    request.title = *title;
     if (!message.sdp || message.sdp->empty()) return "no session description";
-    ask.description = *message.sdp;
+    request.description = *message.sdp;
     const auto extras = relay::read_pairs(field("extras"));
     if (!extras) return "extras is malformed";
     const auto extra = [&](const char* name) {
@@ -435,23 +436,23 @@
     if (!home || !copies || !top) return "home, copies or top is missing or out of range";
     if (settings_.cells > 0 && (*home >= settings_.cells || *copies > settings_.cells))
         return "home or copies is out of range";
-    ask.first_cell = *home, ask.cell_count = *copies, ask.top_rung = *top;
+    request.first_cell = *home, request.cell_count = *copies, request.top_rung = *top;
     const auto viewer = relay::read_hex(extra("viewer"));
     if (!viewer) return "viewer is not a hexadecimal number";
-    ask.viewer = *viewer;
-    ask.again = extra("again") == "1";
+    request.viewer = *viewer;
+    request.returning = extra("again") == "1";
     node_uid = extra("at");
     // A session that is handed over already plays and waits for nothing: its `left` is without bound.
-    const Time patience = settings_.classes[static_cast<std::size_t>(ask.cls)].patience;
+    const Time patience = settings_.classes[static_cast<std::size_t>(request.cls)].patience;
     const auto time_left = relay::read_number(field("left"));
     if (!time_left || *time_left <= 0 || (node_uid.empty() && *time_left > patience + 1))
         return "left is not a valid time to wait";
-    ask.deadline = loop_.now() + *time_left;
+    request.deadline = loop_.now() + *time_left;
     return "";
 }
 
-void RelayFront::handle_set_up(Connection& connection, const ViewerMessage& message) {
-    counts_.set_ups += 1;
+void RelayFront::handle_setup(Connection& connection, const ViewerMessage& message) {
+    counts_.setups += 1;
     if (connection.rejects_set_ups) return send_release(connection, message.id, kCauseUnusable);
     if (const auto it = requests_.find(message.session); it != requests_.end()) {
         // Two requests under one session number. On the same connection an answer to one would be taken for
@@ -462,29 +463,29 @@
         if (it->second->connection == &connection) {
             const std::string first_id_text = it->second->id_text;
             connection.rejects_set_ups = true;
-            engine_.leave(message.session, it->second.get());
+            engine_.withdraw_request(message.session, it->second.get());
             finish_request(message.session);
             send_release(connection, first_id_text, kCauseUnusable);
         }
         send_release(connection, message.id, kCauseUnusable);
         return close_if_done(connection);
     }
-    core::Ask ask;
+    core::ViewerRequest request;
     std::string node_uid;
-    const std::string why = parse_set_up(message, ask, node_uid);
+    const std::string why = parse_setup(message, request, node_uid);
     if (!why.empty()) {
         counts_.bad += 1;
-        if (on_invalid_set_up) on_invalid_set_up(why, message);
+        if (on_invalid_setup) on_invalid_setup(why, message);
         return send_release(connection, message.id, kCauseUnusable);
     }
-    if (on_first_set_up && !received_set_up_) on_first_set_up();
-    received_set_up_ = true;
-    connection.received_valid_set_up = true;
-    send_pending_notifications();
+    if (on_first_setup && !received_setup_) on_first_setup();
+    received_setup_ = true;
+    connection.has_carried_setup = true;
+    send_pending_end_notices();
     if (!node_uid.empty()) {
         const auto server = find_node ? find_node(node_uid) : std::nullopt;
         // The engine may know the session already.
-        if (engine_.knows(message.session)) return;
+        if (engine_.has_session(message.session)) return;
         if (!server) {
             counts_.bad += 1;
             return send_release(connection, message.id, kCauseUnusable);
@@ -492,31 +493,31 @@
         counts_.adopted += 1;
         established_[message.session] = {&connection, std::numeric_limits<io::Time>::lowest()};
         connection.established.insert(message.session);
-        adopt_session(ask, *server);
+        adopt_session(request, *server);
         return;
     }
-    if (engine_.knows(message.session)) {  // the number belongs to an established session
+    if (engine_.has_session(message.session)) {  // the number belongs to an established session
         counts_.repeated += 1;
         return send_release(connection, message.id, kCauseUnusable);
     }
-    const bool stopping = shutdown_ && loop_.now() >= shutdown_->take_until();
-    if (!decide::takes(limits_.intake, connection.pending_set_ups.size(), stopping)) {
+    const bool stopping = shutdown_ && loop_.now() >= shutdown_->accept_deadline();
+    if (!decide::can_admit_setup(limits_.admission, connection.pending_setups.size(), stopping)) {
         counts_.turned_away += 1;
-        send_release(connection, message.id, kCauseRefused);
+        send_release(connection, message.id, kCauseRejected);
         return close_if_done(connection);
     }
     auto owned = std::make_unique<Request>(*this, message.session, message.id, &connection);
-    Request* request = owned.get();
+    Request* handler = owned.get();
     requests_.emplace(message.session, std::move(owned));
-    connection.pending_set_ups.insert(message.session);
-    engine_.open(ask, request);
+    connection.pending_setups.insert(message.session);
+    engine_.open_session(request, handler);
 }
 
 // Removes a request that has been answered or abandoned.
 void RelayFront::finish_request(SessionId id) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return;
-    it->second->connection->pending_set_ups.erase(id);
+    it->second->connection->pending_setups.erase(id);
     finished_requests_.push_back(std::move(it->second));  // it may be the caller
     requests_.erase(it);
     if (finished_requests_.size() == 1) loop_.post([this] { finished_requests_.clear(); });
@@ -528,13 +529,13 @@
         if (it->second->connection != &connection) return close_gracefully(connection, CloseReason::unusable);
         counts_.gave_up += 1;
         Request* request = it->second.get();
-        engine_.leave(message.session, request);
+        engine_.withdraw_request(message.session, request);
         finish_request(message.session);
         return close_if_done(connection);
     }
     ViewerMessage reply;
     reply.type = Type::released, reply.id = message.id;
-    if (engine_.hang_up(message.session)) {
+    if (engine_.terminate_by_viewer(message.session)) {
         counts_.hung_up += 1;
         if (const auto it = established_.find(message.session); it != established_.end()) {
             if (Connection* origin = it->second.connection) origin->established.erase(message.session);
@@ -546,7 +547,7 @@
     // before has no other use then and is closed.
     counts_.unknown_releases += 1;
     send_message(connection, reply);
-    if (!connection.removed && !connection.received_valid_set_up)
+    if (!connection.removed && !connection.has_carried_setup)
         close_gracefully(connection, CloseReason::unusable);
 }
 
@@ -560,65 +561,64 @@
         established_.erase(it);
     }
     if (!notify_viewer) return;
-    const Notification notification{id, moved, loop_.now(), session.answered_at};
+    const EndNotice notice{id, moved, loop_.now(), session.answered_at};
     Connection* connection = session.connection;
     if (connection && !connection->removed && !connection->closing)
-        return send_notification(*connection, notification);
-    queue_notification(notification);
+        return send_end_notice(*connection, notice);
+    queue_end_notice(notice);
 }
 
 // The most recently used connection on which the end of another connection's session may be sent; connections
 // that have carried a set-up are preferred.
-RelayFront::Connection* RelayFront::find_connection_to_notify(io::Time waited) const {
+RelayFront::Connection* RelayFront::find_connection_for_end_notice(io::Time waited) const {
     Connection* best = nullptr;
     for (const auto& connection : connections_) {
         if (connection->closing ||
-            !decide::tells_end_on(connection->received_valid_set_up, connection->received_ping, waited))
+            !decide::can_carry_end_notice(connection->has_carried_setup, connection->received_ping, waited))
             continue;
-        if (!best || std::make_pair(connection->received_valid_set_up, connection->last_used_at) >
-                         std::make_pair(best->received_valid_set_up, best->last_used_at))
+        if (!best || std::make_pair(connection->has_carried_setup, connection->last_used) >
+                         std::make_pair(best->has_carried_setup, best->last_used))
             best = connection.get();
     }
     return best;
 }
 
-void RelayFront::send_notification(Connection& connection, const Notification& notification) {
+void RelayFront::send_end_notice(Connection& connection, const EndNotice& notice) {
     ViewerMessage message;
-    message.type = notification.moved ? Type::move : Type::release;
-    message.id = relay::hex(notification.session);
-    if (!notification.moved) message.cause = kCauseSessionOver;
+    message.type = notice.moved ? Type::move : Type::release;
+    message.id = relay::hex(notice.session);
+    if (!notice.moved) message.cause = kCauseSessionOver;
     counts_.releases += 1;
-    while (!connection.recent_notifications.empty() &&
-           !decide::may_have_crossed(loop_.now() - connection.recent_notifications.front().sent_at))
-        connection.recent_notifications.pop_front();
-    connection.recent_notifications.push_back({loop_.now(), notification});
+    while (!connection.recent_end_notices.empty() &&
+           !decide::can_have_crossed(loop_.now() - connection.recent_end_notices.front().sent_at))
+        connection.recent_end_notices.pop_front();
+    connection.recent_end_notices.push_back({loop_.now(), notice});
     send_message(connection, message);
 }
 
-void RelayFront::queue_notification(const Notification& notification) {
-    if (pending_notifications_.size() >= limits_.max_pending_notifications)
-        pending_notifications_.pop_front();
-    pending_notifications_.push_back(notification);
-    send_pending_notifications();
+void RelayFront::queue_end_notice(const EndNotice& notice) {
+    if (pending_end_notices_.size() >= limits_.max_pending_end_notices) pending_end_notices_.pop_front();
+    pending_end_notices_.push_back(notice);
+    send_pending_end_notices();
 }
 
-void RelayFront::send_pending_notifications() {
-    if (pending_notifications_.empty()) return;
-    const auto pending = std::move(pending_notifications_);
-    pending_notifications_.clear();
+void RelayFront::send_pending_end_notices() {
+    if (pending_end_notices_.empty()) return;
+    const auto pending = std::move(pending_end_notices_);
+    pending_end_notices_.clear();
     io::Time next_due = std::numeric_limits<io::Time>::infinity();
-    for (const Notification& notification : pending) {
-        const io::Time allowed_from = decide::may_follow_elsewhere(notification.answered_at);
+    for (const EndNotice& notice : pending) {
+        const io::Time allowed_from = decide::earliest_end_notice_elsewhere(notice.answered_at);
         if (allowed_from > loop_.now()) {
             next_due = std::min(next_due, allowed_from);
-        } else if (Connection* connection = find_connection_to_notify(loop_.now() - notification.ended_at)) {
-            send_notification(*connection, notification);
+        } else if (Connection* connection = find_connection_for_end_notice(loop_.now() - notice.ended_at)) {
+            send_end_notice(*connection, notice);
             continue;
         }
-        pending_notifications_.push_back(notification);
+        pending_end_notices_.push_back(notice);
     }
     if (std::isfinite(next_due))
-        notification_timer_ = loop_.at(next_due, [this] { send_pending_notifications(); });
+        end_notice_timer_ = loop_.at(next_due, [this] { send_pending_end_notices(); });
 }
 
 }  // namespace ivyfield::fronts
--- a/src/fronts/relay/front.hpp
+++ b/src/fronts/relay/front.hpp
@@ -14,7 +14,7 @@
 #include <memory>
 
 #include "core/engine.hpp"
-#include "decide/intake.hpp"
+#include "decide/admission.hpp"
 #include "decide/shutdown.hpp"
 #include "io/loop.hpp"
 #include "relay/message.hpp"
@@ -23,9 +23,9 @@
 
 // Limits of a RelayFront. Times in ms, sizes in bytes.
 struct RelayFrontLimits {
-    decide::IntakeLimits intake{256, 256};
-    std::size_t max_unsent_output = 256 * 1024;    // per connection; beyond it the connection is dropped
-    std::size_t max_pending_notifications = 4096;  // beyond it the oldest is dropped
+    decide::AdmissionLimits admission{256, 256};
+    std::size_t max_unsent_output = 256 * 1024;  // per connection; beyond it the connection is dropped
+    std::size_t max_pending_end_notices = 4096;  // beyond it the oldest is dropped
     io::Time linger = 500;          // input is read so long after our end, so that our last message arrives
     io::Time idle_timeout = 10000;  // connections without a session are closed after this
 };
@@ -52,14 +52,14 @@
 struct ClosedConnection {
     std::uint64_t number = 0;  // in the order of acceptance, from 1
     CloseReason reason = CloseReason::client_end;
-    std::size_t pending_set_ups = 0;            // set-ups not yet answered
+    std::size_t pending_setups = 0;             // set-ups not yet answered
     std::optional<io::Time> since_last_answer;  // ms since the last answer was written; nothing: no answer
 };
 
 // Counters of a RelayFront since its start.
 struct RelayFrontCounts {
     std::array<std::uint64_t, kCloseReasons> closed{};  // connections by CloseReason
-    std::uint64_t connections = 0, set_ups = 0, unreadable = 0, bad = 0, repeated = 0, gave_up = 0, pings = 0,
+    std::uint64_t connections = 0, setups = 0, unreadable = 0, bad = 0, repeated = 0, gave_up = 0, pings = 0,
                   adopted = 0, hung_up = 0, releases = 0, unknown_releases = 0, shed = 0, turned_away = 0;
 };
 
@@ -81,33 +81,33 @@
     // Returns the listed media node with that name, if there is one.
     std::function<std::optional<ServerId>(const std::string& uid)> find_node;
     // Takes over a session that already plays, in the engine and in the link to its node.
-    std::function<bool(const core::Ask& ask, ServerId server)> adopt_session;
+    std::function<bool(const core::ViewerRequest& request, ServerId server)> adopt_session;
     // Called for a set-up that is malformed or names something unknown, with the reason.
-    std::function<void(const std::string& why, const relay::ViewerMessage& message)> on_invalid_set_up;
+    std::function<void(const std::string& why, const relay::ViewerMessage& message)> on_invalid_setup;
     // Called when a connection is closed with set-ups pending on it, or so soon after an answer that the two
     // may have crossed.
     std::function<void(const ClosedConnection&)> on_connection_closed;
     // Called before the first set-up is passed on.
-    std::function<void()> on_first_set_up;
+    std::function<void()> on_first_setup;
 
     // An established session has ended or is moved. With `notify_viewer` its viewer is sent a release or
     // move, on any suitable connection.
     void handle_session_end(SessionId id, bool notify_viewer, bool moved);
-    // Starts a graceful shutdown: set-ups that come after shutdown.take_until() are refused, and connections
-    // are ended as they drain. New connections are accepted until the end: closing the listener would reset
-    // those that the system has accepted and nobody has read yet, and clients resend on a new connection what
-    // crosses the end of an old one.
-    void begin_shutdown(const decide::Shutdown& shutdown);
+    // Starts a graceful shutdown: set-ups that come after shutdown.accept_deadline() are refused, and
+    // connections are ended as they drain. New connections are accepted until the end: closing the listener
+    // would reset those that the system has accepted and nobody has read yet, and clients resend on a new
+    // connection what crosses the end of an old one.
+    void begin_shutdown(const decide::GracefulShutdown& shutdown);
     // Ends the connections that are drained; to be called periodically during a shutdown.
     void end_drained_connections();
     // When data or a connection was last received. The director exits only after it has read everything.
-    io::Time last_received_at() const { return last_received_at_; }
+    io::Time last_received() const { return last_received_; }
     // The hard deadline: ends every connection after its remaining output. A reset would lose answers that
     // are on their way.
     void end_all_connections();
     io::Address address() const { return listener_->address(); }  // with the port chosen, where 0 was given
     std::size_t connection_count() const { return connections_.size(); }
-    std::size_t pending_set_ups() const { return requests_.size(); }
+    std::size_t pending_setups() const { return requests_.size(); }
     bool has_sent_all_output() const;
     const RelayFrontCounts& counts() const { return counts_; }
 
@@ -115,7 +115,7 @@
     struct Connection;
     struct Request;
     // The end or move of a session, to be sent to its client.
-    struct Notification {
+    struct EndNotice {
         SessionId session = 0;
         bool moved = false;
         io::Time ended_at = 0, answered_at = 0;  // answered_at: see Established
@@ -124,14 +124,14 @@
     void accept_connection(std::unique_ptr<io::Stream> stream);
     void handle_data(Connection& connection, std::string_view bytes);
     void handle_line(Connection& connection, const std::string& line);
-    void handle_set_up(Connection& connection, const relay::ViewerMessage& message);
+    void handle_setup(Connection& connection, const relay::ViewerMessage& message);
     void handle_release(Connection& connection, const relay::ViewerMessage& message);
-    std::string parse_set_up(const relay::ViewerMessage& message, core::Ask& ask,
-                             std::string& node_uid) const;
+    std::string parse_setup(const relay::ViewerMessage& message, core::ViewerRequest& request,
+                            std::string& node_uid) const;
     void send_message(Connection& connection, const relay::ViewerMessage& message);
     void send_release(Connection& connection, const std::string& id, int cause, Time wait = 0);
     void finish_request(SessionId id);
-    void abandon_pending_set_ups(Connection& connection);
+    void abandon_pending_setups(Connection& connection);
     void close_gracefully(Connection& connection, CloseReason reason);
     void record_close(Connection& connection, CloseReason reason);
     void handle_client_close(Connection& connection, CloseReason reason);
@@ -142,19 +142,19 @@
     void remove_connection(Connection& connection, CloseReason reason);
     bool make_room();
     void sweep();
-    Connection* find_connection_to_notify(io::Time waited) const;
-    void send_notification(Connection& connection, const Notification& notification);
-    void queue_notification(const Notification& notification);
-    void send_pending_notifications();
+    Connection* find_connection_for_end_notice(io::Time waited) const;
+    void send_end_notice(Connection& connection, const EndNotice& notice);
+    void queue_end_notice(const EndNotice& notice);
+    void send_pending_end_notices();
 
     io::Loop& loop_;
     Settings settings_;
     RelayNames names_;
     RelayFrontLimits limits_;
     core::Engine& engine_;
-    bool received_set_up_ = false;
-    io::Time last_received_at_ = 0;
-    std::optional<decide::Shutdown> shutdown_;
+    bool received_setup_ = false;
+    io::Time last_received_ = 0;
+    std::optional<decide::GracefulShutdown> shutdown_;
     bool drain_check_posted_ = false;                     // a call of end_drained_connections() is posted
     std::list<std::unique_ptr<Connection>> connections_;  // oldest first
     std::map<SessionId, std::unique_ptr<Request>> requests_;
@@ -164,8 +164,8 @@
     };
     std::map<SessionId, Established> established_;
     // Waiting for a suitable connection, or so as not to overtake the answer; oldest first.
-    std::deque<Notification> pending_notifications_;
-    io::Timer notification_timer_;
+    std::deque<EndNotice> pending_end_notices_;
+    io::Timer end_notice_timer_;
     // Destroyed in the event loop's next turn, because they may be in a callback.
     std::vector<std::unique_ptr<Connection>> removed_connections_;
     std::vector<std::unique_ptr<Request>> finished_requests_;
--- a/tests/relay/process_test.cpp
+++ b/tests/relay/process_test.cpp
@@ -15,7 +15,7 @@
 // Sets up a session with a node's answer. Returns its node connection.
 PeerConnection establish_session(ProcessRig& rig, PeerConnection& viewer, std::uint64_t id,
                                  const std::string& cls = "free one") {
-    viewer.send_line(make_set_up_line(id, cls));
+    viewer.send_line(make_setup_line(id, cls));
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, id);
     node.send(Type::answer, id, -1, {{63, "it plays"}});
@@ -35,9 +35,9 @@
     PeerConnection taken = rig.connect_viewer();
     rig.barrier(taken);
     rig.suspend();
-    taken.send_line(make_set_up_line(1, "paid"));
+    taken.send_line(make_setup_line(1, "paid"));
     PeerConnection queued = rig.connect_viewer();
-    queued.send_line(make_set_up_line(2, "paid"));
+    queued.send_line(make_setup_line(2, "paid"));
     rig.send_signal(SIGTERM);
     rig.resume();
     PeerConnection one = rig.accept_connection(), two = rig.accept_connection();
@@ -59,11 +59,11 @@
     rig.send_signal(SIGTERM);
     rig.await_log_event("stopping");
     rig.suspend();
-    taken.send_line(make_set_up_line(1, "paid"));
+    taken.send_line(make_setup_line(1, "paid"));
     std::list<PeerConnection> queued;
     for (std::uint64_t k = 0; k < 100; ++k) {  // more than are accepted in one turn of the loop
         queued.push_back(rig.connect_viewer());
-        queued.back().send_line(make_set_up_line(2 + k, "paid"));
+        queued.back().send_line(make_setup_line(2 + k, "paid"));
     }
     const double late = clock_ms() + 800;  // past 0.75 s: all timers are due when it resumes
     rig.wait_until([&] { return clock_ms() > late; });
@@ -80,7 +80,7 @@
     ProcessRig rig;
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid", 5000));
+    viewer.send_line(make_setup_line(1, "paid", 5000));
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
     const double asked = clock_ms();
@@ -109,7 +109,7 @@
     PeerConnection viewer = rig.connect_viewer();
     std::set<std::uint64_t> owed;
     for (std::uint64_t id = 1; id <= 6; ++id) {
-        viewer.send_line(make_set_up_line(id, id % 2 ? "paid" : "free one", 3000));
+        viewer.send_line(make_setup_line(id, id % 2 ? "paid" : "free one", 3000));
         owed.insert(id);
     }
     rig.barrier(viewer);
@@ -209,7 +209,7 @@
     ProcessRig rig;
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid"));
+    viewer.send_line(make_setup_line(1, "paid"));
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
     rig.suspend();
@@ -234,16 +234,16 @@
     PeerConnection half = rig.connect_viewer(), whole = rig.connect_viewer(), broken = rig.connect_viewer();
     for (PeerConnection* w : {&half, &whole, &broken}) rig.barrier(*w);
     rig.suspend();
-    const std::string line = make_set_up_line(1, "paid");
+    const std::string line = make_setup_line(1, "paid");
     half.write(line.substr(0, line.size() / 2));
     half.close();
-    whole.send_line(make_set_up_line(2, "paid"));
+    whole.send_line(make_setup_line(2, "paid"));
     whole.close();
-    broken.send_line(make_set_up_line(3, "paid"));
+    broken.send_line(make_setup_line(3, "paid"));
     broken.reset();
     rig.resume();
     PeerConnection next = rig.connect_viewer();
-    next.send_line(make_set_up_line(4, "paid"));
+    next.send_line(make_setup_line(4, "paid"));
     // Connections dialled for the closed clients may be established; they are ended without a set-up, or the
     // set-up sent on them is released.
     std::list<PeerConnection> links;
@@ -269,7 +269,7 @@
     PeerConnection viewer = rig.connect_viewer();
     rig.barrier(viewer);
     rig.suspend();
-    viewer.send_line(make_set_up_line(1, "free one"));
+    viewer.send_line(make_setup_line(1, "free one"));
     rig.resume();
     // The process has dialled; it may or may not find the connection established before the close.
     PeerConnection node = rig.accept_connection();
@@ -282,9 +282,9 @@
     rig.wait_until([&] { return clock_ms() > late; });
     rig.barrier(other);
     rig.suspend();
-    std::size_t set_ups = 0;
-    for (node.receive_available(); const auto m = node.next_frame();) set_ups += m->type == Type::setup;
-    EXPECT_LE(set_ups, 1u) << "a second attempt for a viewer that has gone";
+    std::size_t setups = 0;
+    for (node.receive_available(); const auto m = node.next_frame();) setups += m->type == Type::setup;
+    EXPECT_LE(setups, 1u) << "a second attempt for a viewer that has gone";
     pollfd listener{rig.node_fd(0), POLLIN, 0};
     EXPECT_EQ(::poll(&listener, 1, 0), 0) << "another connection for a viewer that has gone";
     rig.resume();
@@ -296,12 +296,12 @@
     ProcessRig rig;
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid"));
-    viewer.send_line(make_set_up_line(2, "paid"));
+    viewer.send_line(make_setup_line(1, "paid"));
+    viewer.send_line(make_setup_line(2, "paid"));
     PeerConnection one = rig.accept_connection(), two = rig.accept_connection();
     if (rig.await_frame(one, Type::setup).session != 1) std::swap(one, two);
-    for (int k = 0; k < 50; ++k) viewer.send_line(make_set_up_line(1, "paid", 3000));
-    viewer.send_line(make_set_up_line(3, "paid", 3000));
+    for (int k = 0; k < 50; ++k) viewer.send_line(make_setup_line(1, "paid", 3000));
+    viewer.send_line(make_setup_line(3, "paid", 3000));
     for (int k = 0; k < 52; ++k) {
         const ViewerMessage m = rig.await_line(viewer);
         EXPECT_EQ(m.session, k < 51 ? 1u : 3u);
@@ -331,7 +331,7 @@
     rig.resume();
     EXPECT_EQ(rig.await_frame(node, Type::released).session, 1u);
     PeerConnection next = rig.connect_viewer();
-    next.send_line(make_set_up_line(2, "free one"));
+    next.send_line(make_setup_line(2, "free one"));
     const ViewerMessage told = rig.await_line(next);
     EXPECT_EQ(told.session, 1u);
     EXPECT_EQ(told.type, Type::release);
@@ -344,7 +344,7 @@
     ProcessRig rig;
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid"));
+    viewer.send_line(make_setup_line(1, "paid"));
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
     NodeMessage answer;
@@ -364,7 +364,7 @@
     ProcessRig rig;
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid"));
+    viewer.send_line(make_setup_line(1, "paid"));
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
     rig.suspend();
@@ -381,7 +381,7 @@
     ProcessRig rig;
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid", 300));
+    viewer.send_line(make_setup_line(1, "paid", 300));
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
     rig.suspend();
@@ -415,7 +415,7 @@
     rig.rewrite_config();
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
-    viewer.send_line(make_set_up_line(1, "paid", 4000));
+    viewer.send_line(make_setup_line(1, "paid", 4000));
     rig.barrier(viewer);
     rig.suspend();
     queue_fillers.clear();
@@ -425,7 +425,7 @@
     const double late = clock_ms() + 1000;
     rig.wait_until([&] { return clock_ms() > late; });
     rig.resume();
-    std::size_t set_ups = 0;
+    std::size_t setups = 0;
     std::optional<ViewerMessage> answer;
     std::list<PeerConnection> links;
     links.push_back(std::move(filled));
@@ -435,14 +435,14 @@
         if (::poll(&listener, 1, 0) == 1) links.push_back(rig.accept_connection());
         for (PeerConnection& link : links)
             for (link.receive_available(); const auto m = link.next_frame();) {
-                set_ups += m->type == Type::setup;
+                setups += m->type == Type::setup;
                 if (m->type == Type::setup) link.send(Type::answer, m->session, -1, {{63, "it plays"}});
             }
         viewer.receive_available();
         answer = viewer.next_line();
         return answer.has_value();
     }));
-    EXPECT_LE(set_ups, 1u);
+    EXPECT_LE(setups, 1u);
     EXPECT_EQ(answer->session, 1u);
     rig.barrier(viewer);
 }
@@ -455,7 +455,7 @@
     rig.start();
     PeerConnection viewer = rig.connect_viewer();
     PeerConnection node = establish_session(rig, viewer, 1);
-    viewer.send_line(make_set_up_line(2, "paid"));
+    viewer.send_line(make_setup_line(2, "paid"));
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 2u);
     rig.suspend();
     rig.listed[0].uid = "s-new";
@@ -472,7 +472,7 @@
     EXPECT_EQ(told[1], (std::vector<Type>{Type::release})) << "ended with its node";
     EXPECT_EQ(told[2], (std::vector<Type>{Type::answer, Type::release}));
     // The next set-up goes to the new node at the same address.
-    viewer.send_line(make_set_up_line(3, "paid"));
+    viewer.send_line(make_setup_line(3, "paid"));
     std::list<PeerConnection> links;
     EXPECT_TRUE(rig.wait_until([&] {
         pollfd listener{rig.node_fd(0), POLLIN, 0};
@@ -507,7 +507,7 @@
 
 // A set-up lies in the receive buffer of a connection that is evicted for new ones: it must be answered.
 TEST(RelayProcessOverload, ASetUpInTheBufferOfAnEvictedConnectionIsNotLost) {
-    for (const bool set_up_first : {true, false}) {
+    for (const bool setup_first : {true, false}) {
         ProcessRig rig(1, 64);
         rig.start();
         PeerConnection oldest = rig.connect_viewer();
@@ -518,9 +518,9 @@
             rig.barrier(others.back());
         }
         rig.suspend();
-        if (set_up_first) oldest.send_line(make_set_up_line(1, "paid"));
+        if (setup_first) oldest.send_line(make_setup_line(1, "paid"));
         for (int k = 0; k < 8; ++k) others.push_back(rig.connect_viewer());
-        if (!set_up_first) oldest.send_line(make_set_up_line(1, "paid"));
+        if (!setup_first) oldest.send_line(make_setup_line(1, "paid"));
         const double late = clock_ms() + 100;  // longer than a message that crosses a close may take
         rig.wait_until([&] { return clock_ms() > late; });
         rig.resume();
@@ -540,7 +540,7 @@
     std::list<PeerConnection> others;
     for (int k = 0; k < 24; ++k) {
         others.push_back(rig.connect_viewer());
-        others.back().send_line(make_set_up_line(10 + static_cast<std::uint64_t>(k), "paid"));
+        others.back().send_line(make_setup_line(10 + static_cast<std::uint64_t>(k), "paid"));
         rig.barrier(others.back());
     }
     for (int k = 0; k < 8; ++k) others.push_back(rig.connect_viewer());
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -12,7 +12,7 @@
     Rig rig;
     Viewer& v = rig.connect_viewer();
     v.send_line(R"({"type":"ping","id":"0000000000000001","fields":{},"cause":0})");
-    v.send_line(make_set_up_line(0xabc, "paid"));
+    v.send_line(make_setup_line(0xabc, "paid"));
     rig.run_for(200);
     ASSERT_EQ(v.received_of(Type::pong).size(), 1u);
     EXPECT_EQ(v.received_of(Type::pong)[0].cause, 1);
@@ -37,7 +37,7 @@
 
 TEST(Relay, PingsAskForALoadReport) {
     Rig rig;
-    rig.connect_viewer().send_line(make_set_up_line(1, "paid"));
+    rig.connect_viewer().send_line(make_setup_line(1, "paid"));
     rig.run_for(200);
     const auto tests = rig.nodes[0]->received_of(Type::ping);
     ASSERT_FALSE(tests.empty());
@@ -47,15 +47,12 @@
 TEST(Relay, HandedOverSessionsHaveNoBoundOnTheirWaitAndAreKept) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(
-        make_set_up_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
-    v.send_line(
-        make_set_up_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
-    v.send_line(
-        make_set_up_line(6, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-9"));
-    v.send_line(make_set_up_line(7, "paid", 4294967));
+    v.send_line(make_setup_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
+    v.send_line(make_setup_line(5, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-0"));
+    v.send_line(make_setup_line(6, "paid", 4294967, "home:0;copies:12;top:1;viewer:00000000b4d65521;at:s-9"));
+    v.send_line(make_setup_line(7, "paid", 4294967));
     rig.run_for(300);
-    EXPECT_EQ(rig.director->engine().playing(), 1u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 1u);
     // Rejected: a session at an unlisted node, and an unbounded wait for a session that does not play yet.
     ASSERT_EQ(v.received_of(Type::release).size(), 2u);
     EXPECT_GE(rig.nodes[0]->count_open_links(), 1u) << "a connection is kept to nodes with sessions";
@@ -70,7 +67,7 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(200);
     v.send_line(make_release_line(1, 16));
     rig.run_for(200);
@@ -83,7 +80,7 @@
         if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "x"}});
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
-    v.send_line(make_set_up_line(2, "free one"));
+    v.send_line(make_setup_line(2, "free one"));
     rig.run_for(200);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     Viewer& other = rig.connect_viewer();
@@ -100,12 +97,12 @@
     Rig rig;
     rig.nodes[0]->on_message = nullptr;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "free one"));
+    v.send_line(make_setup_line(1, "free one"));
     rig.run_for(120);
     v.stream.reset();
     rig.run_for(100);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
-    EXPECT_EQ(rig.director->front().pending_set_ups(), 0u);
+    EXPECT_EQ(rig.director->front().pending_setups(), 0u);
 }
 
 TEST(Relay, ARepeatedSessionNumberDisturbsNeitherAnswer) {
@@ -114,15 +111,15 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer &v = rig.connect_viewer(), &other = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(200);
-    other.send_line(make_set_up_line(1, "paid"));
+    other.send_line(make_setup_line(1, "paid"));
     other.send_line(make_release_line(1, 16));
     rig.run_for(100);
     EXPECT_EQ(other.received_of(Type::answer).size(), 0u);
     EXPECT_EQ(other.received_of(Type::release).size(), 1u);
     EXPECT_FALSE(other.open) << "it tried to cancel another connection's set-up";
-    EXPECT_EQ(rig.director->front().pending_set_ups(), 1u);
+    EXPECT_EQ(rig.director->front().pending_setups(), 1u);
     rig.nodes[0]->links.front().send(Type::answer, 1, -1, {{63, "y"}});
     rig.run_for(100);
     EXPECT_EQ(v.received_of(Type::answer).size(), 1u);
@@ -132,16 +129,16 @@
     Rig rig;
     const std::string good = "home:0;copies:12;top:1;viewer:00000000b4d65521";
     const std::vector<std::string> lines = {
-        make_set_up_line(1, "gold"),
-        make_set_up_line(1, "paid", -5),
-        make_set_up_line(1, "paid", 999999),
-        make_set_up_line(1, "paid", 4000, "home:-1;copies:12;top:1;viewer:00000000b4d65521"),
-        make_set_up_line(1, "paid", 4000, "home:12;copies:12;top:1;viewer:00000000b4d65521"),
-        make_set_up_line(1, "paid", 4000, "home:0;copies:1e9;top:1;viewer:00000000b4d65521"),
-        make_set_up_line(1, "paid", 4000, "home:0;copies:12;top:7;viewer:00000000b4d65521"),
-        make_set_up_line(1, "paid", 4000, "home:0;copies:12;top:1;viewer:x"),
-        make_set_up_line(1, "paid", 4000, ";;"),
-        make_set_up_line(1, "paid", 4000, good, R"(,"tenant":"nobody")"),
+        make_setup_line(1, "gold"),
+        make_setup_line(1, "paid", -5),
+        make_setup_line(1, "paid", 999999),
+        make_setup_line(1, "paid", 4000, "home:-1;copies:12;top:1;viewer:00000000b4d65521"),
+        make_setup_line(1, "paid", 4000, "home:12;copies:12;top:1;viewer:00000000b4d65521"),
+        make_setup_line(1, "paid", 4000, "home:0;copies:1e9;top:1;viewer:00000000b4d65521"),
+        make_setup_line(1, "paid", 4000, "home:0;copies:12;top:7;viewer:00000000b4d65521"),
+        make_setup_line(1, "paid", 4000, "home:0;copies:12;top:1;viewer:x"),
+        make_setup_line(1, "paid", 4000, ";;"),
+        make_setup_line(1, "paid", 4000, good, R"(,"tenant":"nobody")"),
         R"({"type":"setup","id":"0000000000000001","fields":{}})",
         R"({"type":"sing","id":"0000000000000001"})"};
     for (const std::string& line : lines) {
@@ -160,7 +157,7 @@
         EXPECT_FALSE(v.open) << line.substr(0, 20);
     }
     EXPECT_TRUE(rig.nodes[0]->received_of(Type::setup).empty());
-    EXPECT_EQ(rig.director->engine().counts().taken, 0u);
+    EXPECT_EQ(rig.director->engine().counts().accepted, 0u);
 }
 
 TEST(Relay, HundredsOfSilentConnectionsLeaveRoomForOthers) {
@@ -168,7 +165,7 @@
     for (int k = 0; k < 300; ++k) rig.connect_viewer();
     rig.run_for(50);
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     for (int k = 0; k < 50; ++k) rig.connect_viewer();
     rig.run_for(300);
     EXPECT_EQ(v.received_of(Type::answer).size(), 1u);
@@ -187,9 +184,9 @@
             if (m.type == Type::setup) waiting.emplace_back(&link, m.session);
         };
         Viewer& v = rig.connect_viewer();
-        v.send_line(make_set_up_line(1, "paid"));
+        v.send_line(make_setup_line(1, "paid"));
         rig.run_for(100);
-        v.send_line(make_set_up_line(2, "paid"));
+        v.send_line(make_setup_line(2, "paid"));
         rig.run_for(100);
         ASSERT_EQ(waiting.size(), 2u);
         ASSERT_NE(waiting[0].first, waiting[1].first) << "one pending set-up per connection";
@@ -213,7 +210,7 @@
         if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "\xff\xfe"}});
     };
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(500);
     EXPECT_EQ(v.received_of(Type::answer).size(), 0u);
     EXPECT_EQ(v.received_of(Type::release).size(), 1u);
@@ -229,7 +226,7 @@
         link.send(Type::answer, m.session, -1, {{63, "again"}});
     };
     Viewer& v = rig.connect_viewer();
-    for (std::uint64_t id = 1; id <= 5; ++id) v.send_line(make_set_up_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 5; ++id) v.send_line(make_setup_line(id, "paid"));
     rig.run_for(1000);
     EXPECT_EQ(v.received.size(), 5u);
     EXPECT_EQ(v.received_of(Type::answer).size(), 5u);
@@ -242,7 +239,7 @@
         if (m.type == Type::setup) link.send(Type::release, m.session, 16, {{63, "short"}});
     };
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(500);
     ASSERT_EQ(v.received.size(), 2u);
     EXPECT_EQ(v.received[0].type, Type::answer);
@@ -260,10 +257,10 @@
     const auto served_after = [](double ms) {
         Rig rig(2, 256, 60000);
         Viewer& v = rig.connect_viewer();
-        v.send_line(make_set_up_line(1, "free one"));
+        v.send_line(make_setup_line(1, "free one"));
         rig.run_for(ms);
         const auto before = v.received_of(Type::answer).size();
-        for (std::uint64_t id = 2; id <= 13; ++id) v.send_line(make_set_up_line(id, "free one"));
+        for (std::uint64_t id = 2; id <= 13; ++id) v.send_line(make_setup_line(id, "free one"));
         rig.run_for(500);
         return v.received_of(Type::answer).size() - before;
     };
@@ -279,7 +276,7 @@
     };
     rig.nodes[0]->on_message = full;
     Viewer& v = rig.connect_viewer();
-    for (std::uint64_t id = 1; id <= 6; ++id) v.send_line(make_set_up_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 6; ++id) v.send_line(make_setup_line(id, "paid"));
     rig.run_for(1500);
     EXPECT_EQ(v.received_of(Type::answer).size(), 6u);
 }
@@ -295,7 +292,7 @@
     };
     rig.nodes[0]->on_message = rig.nodes[1]->on_message = mute;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "free one"));
+    v.send_line(make_setup_line(1, "free one"));
     rig.run_for(1500);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     EXPECT_EQ(
@@ -306,14 +303,14 @@
 TEST(Relay, ADeadNodeProcessEndsItsSessionsAndAConnectionResetDoesNot) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(200);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     // The node's connections are reset but its process lives: it is dialled again and no session ends.
     for (auto& link : rig.nodes[0]->links) link.stream.reset();
     rig.run_for(300);
     EXPECT_EQ(v.received_of(Type::release).size(), 0u);
-    EXPECT_EQ(rig.director->engine().playing(), 1u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 1u);
     // The node's process dies: nothing listens on its address.
     rig.nodes[0]->listener.reset();
     for (auto& link : rig.nodes[0]->links) link.stream.reset();
@@ -327,7 +324,7 @@
 TEST(Relay, ABrokenNodeConnectionIsReplacedThoughOthersAreOpen) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    for (std::uint64_t id = 1; id <= 4; ++id) v.send_line(make_set_up_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 4; ++id) v.send_line(make_setup_line(id, "paid"));
     rig.run_for(500);
     ASSERT_EQ(v.received_of(Type::answer).size(), 4u);
     ASSERT_GE(rig.nodes[0]->count_open_links(), 2u);
@@ -342,7 +339,7 @@
 TEST(Relay, ASessionEndThatCrossesTheCloseOfItsNodeConnectionIsReceived) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     // The viewer cancels another set-up, so the director ends that set-up's connection.
@@ -350,7 +347,7 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     rig.nodes[0]->on_link_end = [](auto& link) { link.send(Type::release, 1, 16); };
-    v.send_line(make_set_up_line(2, "free one"));
+    v.send_line(make_setup_line(2, "free one"));
     rig.run_for(200);
     v.send_line(make_release_line(2, 16));
     rig.run_for(200);
@@ -361,7 +358,7 @@
 TEST(Relay, ANodeThatResetsEveryConnectionIsNotDialledEndlessly) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     const auto before = rig.nodes[0]->links.size();
@@ -377,7 +374,7 @@
 TEST(Relay, ANodeThatSendsMessagesIsNotDialledToCheckIt) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(300);
     const auto dials = rig.director->nodes().counts().dials;
     for (int k = 0; k < 40; ++k) {
@@ -394,12 +391,12 @@
         if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "x"}});
     };
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(200);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     rig.nodes[0]->on_message = nullptr;  // the node hangs; connections are still established
     rig.run_for(20000);
-    EXPECT_EQ(rig.director->engine().playing(), 1u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 1u);
     EXPECT_LE(rig.nodes[0]->count_open_links(), 3u);
     rig.nodes[0]->listener->pause();  // no connection is established
     rig.run_for(7500);
@@ -410,13 +407,13 @@
 TEST(Relay, SessionEndsAreSentOnAnotherConnectionOrOnTheNext) {
     Rig rig;
     Viewer &v = rig.connect_viewer(), &other = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
-    v.send_line(make_set_up_line(2, "paid"));
-    other.send_line(make_set_up_line(3, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
+    v.send_line(make_setup_line(2, "paid"));
+    other.send_line(make_setup_line(3, "paid"));
     rig.run_for(500);
     v.stream.reset();
     rig.run_for(50);
-    EXPECT_EQ(rig.director->engine().playing(), 3u) << "sessions are not bound to a connection";
+    EXPECT_EQ(rig.director->engine().established_sessions(), 3u) << "sessions are not bound to a connection";
     rig.nodes[0]->links.back().send(Type::release, 1, 16);
     rig.run_for(100);
     ASSERT_EQ(other.received_of(Type::release).size(), 1u);
@@ -426,7 +423,7 @@
     rig.nodes[0]->links.back().send(Type::release, 2, 16);
     rig.run_for(100);
     Viewer& next = rig.connect_viewer();
-    next.send_line(make_set_up_line(4, "paid"));
+    next.send_line(make_setup_line(4, "paid"));
     rig.run_for(300);
     ASSERT_EQ(next.received_of(Type::release).size(), 1u);
     EXPECT_EQ(next.received_of(Type::release)[0].session, 2u);
@@ -438,7 +435,7 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer& v = rig.connect_viewer();
-    for (std::uint64_t id = 1; id <= 30; ++id) v.send_line(make_set_up_line(id, "free one"));
+    for (std::uint64_t id = 1; id <= 30; ++id) v.send_line(make_setup_line(id, "free one"));
     rig.run_for(300);
     EXPECT_GT(rig.nodes[0]->received_of(Type::setup).size(), 8u);
     EXPECT_LE(rig.director->nodes().connections(), 8u);
@@ -452,7 +449,7 @@
     rig.listed[0].state = "draining";
     rig.publish_list(rig.listed);
     Viewer& v = rig.connect_viewer();
-    for (std::uint64_t id = 1; id <= 5; ++id) v.send_line(make_set_up_line(id, "paid"));
+    for (std::uint64_t id = 1; id <= 5; ++id) v.send_line(make_setup_line(id, "paid"));
     rig.run_for(1000);
     EXPECT_EQ(v.received_of(Type::answer).size(), 5u);
     EXPECT_TRUE(rig.nodes[0]->received_of(Type::setup).empty());
@@ -461,13 +458,13 @@
 TEST(Relay, ARemovedNodeEndsItsSessionsAndItsSuccessorInheritsNone) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(200);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     rig.publish_list({{"s-new", rig.listed[0].address}});
     EXPECT_EQ(v.received_of(Type::release).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
-    v.send_line(make_set_up_line(2, "paid"));
+    v.send_line(make_setup_line(2, "paid"));
     rig.run_for(300);
     EXPECT_EQ(v.received_of(Type::answer).size(), 2u);
 }
@@ -548,13 +545,13 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid", 2000));
+    v.send_line(make_setup_line(1, "paid", 2000));
     rig.run_for(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run_for(500);
     Viewer& late = rig.connect_viewer();
-    late.send_line(make_set_up_line(2, "free one", 2000));
+    late.send_line(make_setup_line(2, "free one", 2000));
     rig.run_for(400);
     EXPECT_FALSE(done);
     rig.run_for(3000);
@@ -573,15 +570,15 @@
         link.send(Type::answer, m.session, -1, {{63, "x"}});
         if (m.session == 1) link.send(Type::release, m.session, 31);
     };
-    v.send_line(make_set_up_line(1, "paid", 2000));
-    v.send_line(make_set_up_line(2, "paid", 2000));
+    v.send_line(make_setup_line(1, "paid", 2000));
+    v.send_line(make_setup_line(2, "paid", 2000));
     rig.run_for(500);
     ASSERT_EQ(v.received_of(Type::answer).size(), 2u);
     for (auto& link : rig.nodes[0]->links)
         if (link.open) link.send(Type::release, 2, 31);
     rig.run_for(500);
     EXPECT_EQ(v.received.size(), 2u);
-    EXPECT_EQ(rig.director->engine().playing(), 0u);
+    EXPECT_EQ(rig.director->engine().established_sessions(), 0u);
     EXPECT_EQ(rig.director->engine().counts().ends_crossing_answers, 1u)
         << "only the first one crossed its answer";
 }
@@ -591,7 +588,7 @@
 TEST(Relay, ADirectorExitsOnceItsNodesHaveReceivedEveryRelease) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid", 2000));
+    v.send_line(make_setup_line(1, "paid", 2000));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     bool done = false;
@@ -615,7 +612,7 @@
 TEST(Relay, ASessionEndIsSentOnAPingedConnectionIfThereIsNoOther) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid", 2000));
+    v.send_line(make_setup_line(1, "paid", 2000));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     v.stream->end();
@@ -637,11 +634,11 @@
     Rig rig;
     Viewer& v = rig.connect_viewer();
     Node& node = *rig.nodes[0];
-    v.send_line(make_set_up_line(1, "paid", 2000));
+    v.send_line(make_setup_line(1, "paid", 2000));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     const auto default_handler = std::exchange(node.on_message, [](auto&, const auto&) {});
-    v.send_line(make_set_up_line(2, "paid", 2000));
+    v.send_line(make_setup_line(2, "paid", 2000));
     rig.run_for(100);
     const auto own = std::find_if(node.links.begin(), node.links.end(), [](const auto& l) { return l.open; });
     ASSERT_NE(own, node.links.end());
@@ -669,8 +666,8 @@
     rig.nodes[0]->on_message = [](auto& link, const auto& m) {
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
-    own.send_line(make_set_up_line(1, "paid", 3000));
-    other.send_line(make_set_up_line(2, "paid", 3000));
+    own.send_line(make_setup_line(1, "paid", 3000));
+    other.send_line(make_setup_line(2, "paid", 3000));
     rig.run_for(100);
     rig.director->stop([] {});
     rig.run_for(900);
@@ -696,7 +693,7 @@
     Viewer& leaves = rig.connect_viewer();
     Viewer& babbles = rig.connect_viewer();
     rig.connect_viewer();
-    leaves.send_line(make_set_up_line(1, "paid", 2000));
+    leaves.send_line(make_setup_line(1, "paid", 2000));
     rig.run_for(100);
     leaves.stream->end();
     babbles.send_line("no message");
@@ -720,7 +717,7 @@
     for (const bool crosses : {false, true}) {
         Rig rig;
         Viewer& v = rig.connect_viewer();
-        v.send_line(make_set_up_line(1, "paid", 2000));
+        v.send_line(make_setup_line(1, "paid", 2000));
         rig.run_for(300);
         ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
         for (auto& link : rig.nodes[0]->links) link.stream.reset();
@@ -729,7 +726,7 @@
         rig.run_for(1000);
         ASSERT_EQ(rig.nodes[0]->received_of(Type::release).size(), 1u) << crosses;
         EXPECT_EQ(rig.nodes[0]->received_of(Type::release)[0].session, 1u);
-        EXPECT_EQ(rig.director->engine().playing(), 0u);
+        EXPECT_EQ(rig.director->engine().established_sessions(), 0u);
     }
 }
 
@@ -738,8 +735,8 @@
 TEST(Relay, ASessionEndThatCrossesItsClientsCloseIsSentOnAnotherConnection) {
     Rig rig;
     Viewer &v = rig.connect_viewer(), &other = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid", 2000));
-    other.send_line(make_set_up_line(2, "paid", 2000));
+    v.send_line(make_setup_line(1, "paid", 2000));
+    other.send_line(make_setup_line(2, "paid", 2000));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     for (auto& link : rig.nodes[0]->links)
@@ -758,7 +755,7 @@
             break;
         }
     Viewer& third = rig.connect_viewer();
-    third.send_line(make_set_up_line(3, "paid", 2000));
+    third.send_line(make_setup_line(3, "paid", 2000));
     rig.run_for(300);
     ASSERT_EQ(other.received_of(Type::release).size(), 2u);
     other.stream.reset();
@@ -774,14 +771,14 @@
     v.stream->pause();
     std::uint64_t id = 1;
     for (int k = 0; k < 40; ++k) {
-        for (int n = 0; n < 100; ++n) v.send_line(make_set_up_line(id++, "no such class", 2000));
-        v.send_line(make_set_up_line(id++, "paid", 2000));
+        for (int n = 0; n < 100; ++n) v.send_line(make_setup_line(id++, "no such class", 2000));
+        v.send_line(make_setup_line(id++, "paid", 2000));
         rig.run_for(20);
     }
     rig.run_for(3000);
-    EXPECT_EQ(rig.director->engine().owed(), 0u);
+    EXPECT_EQ(rig.director->engine().unanswered_sessions(), 0u);
     Viewer& next = rig.connect_viewer();
-    next.send_line(make_set_up_line(id, "paid", 2000));
+    next.send_line(make_setup_line(id, "paid", 2000));
     rig.run_for(500);
     EXPECT_EQ(next.received_of(Type::answer).size(), 1u);
 }
@@ -824,12 +821,12 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer &v = rig.connect_viewer(), &late = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid", 5000));
+    v.send_line(make_setup_line(1, "paid", 5000));
     rig.run_for(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run_for(500);
-    late.send_line(make_set_up_line(2, "paid", 5000));
+    late.send_line(make_setup_line(2, "paid", 5000));
     rig.run_for(2900);
     EXPECT_TRUE(v.received.empty()) << "the node still has time to answer";
     rig.run_for(290);
@@ -852,24 +849,24 @@
     };
     Viewer& v = rig.connect_viewer();
     std::vector<core::SessionRecord> ends;
-    rig.director->engine().on_end = [&](const core::SessionRecord& r) { ends.push_back(r); };
-    v.send_line(make_set_up_line(1, "free one"));
+    rig.director->engine().on_session_record = [&](const core::SessionRecord& r) { ends.push_back(r); };
+    v.send_line(make_setup_line(1, "free one"));
     rig.run_for(2000);
     ASSERT_EQ(ends.size(), 1u);
-    ASSERT_GE(ends[0].tries.size(), 2u);
-    EXPECT_EQ(ends[0].tries[0].end, "timed out");
-    EXPECT_GE(ends[0].tries[0].waited, 250);
-    EXPECT_EQ(ends[0].tries[1].end, "error");
-    EXPECT_LT(ends[0].tries[1].waited, 50);
+    ASSERT_GE(ends[0].attempt_records.size(), 2u);
+    EXPECT_EQ(ends[0].attempt_records[0].outcome, "timed out");
+    EXPECT_GE(ends[0].attempt_records[0].elapsed, 250);
+    EXPECT_EQ(ends[0].attempt_records[1].outcome, "error");
+    EXPECT_LT(ends[0].attempt_records[1].elapsed, 50);
 }
 
 TEST(Relay, TheSessionRecordNamesWhoEndedIt) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
     std::vector<core::SessionRecord> ends;
-    rig.director->engine().on_end = [&](const core::SessionRecord& r) { ends.push_back(r); };
-    v.send_line(make_set_up_line(1, "paid"));
-    v.send_line(make_set_up_line(2, "paid"));
+    rig.director->engine().on_session_record = [&](const core::SessionRecord& r) { ends.push_back(r); };
+    v.send_line(make_setup_line(1, "paid"));
+    v.send_line(make_setup_line(2, "paid"));
     rig.run_for(500);
     v.send_line(make_release_line(1, 31));
     rig.run_for(100);
@@ -885,11 +882,11 @@
 TEST(Relay, AnAcceptQueueFullForAMomentEndsNoSessions) {
     Rig rig;
     Viewer& v = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid"));
+    v.send_line(make_setup_line(1, "paid"));
     rig.run_for(300);
     ASSERT_EQ(v.received_of(Type::answer).size(), 1u);
     rig.nodes[0]->listener->pause();
-    for (std::uint64_t id = 2; id <= 9; ++id) v.send_line(make_set_up_line(id, "paid"));
+    for (std::uint64_t id = 2; id <= 9; ++id) v.send_line(make_setup_line(id, "paid"));
     rig.run_for(400);
     rig.nodes[0]->listener->resume();
     rig.run_for(3000);
@@ -902,16 +899,16 @@
 struct Told : core::NodeEvents {
     std::vector<std::pair<SessionId, Outcome>> ends;
     int starts = 0;
-    void started(SessionId, int, const core::Media&) override { starts += 1; }
-    void over(SessionId id, int, Outcome outcome, const LoadReport&) override {
+    void on_attempt_started(SessionId, int, const core::Media&) override { starts += 1; }
+    void on_attempt_ended(SessionId id, int, Outcome outcome, const LoadReport&) override {
         ends.emplace_back(id, outcome);
     }
-    void lost(SessionId, int, Outcome) override {}
-    void released(SessionId, int) override {}
-    void note(SessionId, int, ServerId, NoteKind, double) override {}
-    bool found(const core::FoundPlaying&) override { return false; }
-    void life(ServerId, Time) override {}
-    void probed(ServerId, Outcome, Time, const LoadReport&) override {}
+    void on_attempt_lost(SessionId, int, Outcome) override {}
+    void on_attempt_released(SessionId, int) override {}
+    void on_session_note(SessionId, int, ServerId, NoteKind, double) override {}
+    bool reclaim_session(const core::OrphanedSession&) override { return false; }
+    void on_node_incarnation(ServerId, Time) override {}
+    void on_probe_result(ServerId, Outcome, Time, const LoadReport&) override {}
 };
 
 // A node starts to drain or is removed while a connection to it is being established: nothing is sent on it.
@@ -926,7 +923,7 @@
         nodes::RelayNodes port(here, {});
         port.attach(&told);
         port.know({{1, {"s-0", at, true}}});
-        core::SetUp what;
+        core::SetupRequest what;
         what.session = 7, what.server = 1, what.expires = 1000;
         port.set_up(what);
         if (gone) port.know({});
@@ -946,7 +943,7 @@
     std::vector<Viewer*> all;
     for (std::uint64_t id = 1; id <= 12; ++id) {
         all.push_back(&rig.connect_viewer());
-        all.back()->send_line(make_set_up_line(id, "free one", 1500));
+        all.back()->send_line(make_setup_line(id, "free one", 1500));
     }
     rig.run_for(100);
     for (int k = 0; k < 40; ++k) rig.connect_viewer();
@@ -960,19 +957,19 @@
         if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
     };
     Viewer &v = rig.connect_viewer(), &late = rig.connect_viewer();
-    v.send_line(make_set_up_line(1, "paid", 3000));
+    v.send_line(make_setup_line(1, "paid", 3000));
     rig.run_for(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run_for(700);
-    late.send_line(make_set_up_line(2, "paid", 3000));
+    late.send_line(make_setup_line(2, "paid", 3000));
     rig.run_for(20);
-    EXPECT_EQ(rig.director->engine().counts().taken, 2u) << "accepted for 0.75 s";
+    EXPECT_EQ(rig.director->engine().counts().accepted, 2u) << "accepted for 0.75 s";
     rig.run_for(100);
     const auto before = late.received.size();
-    late.send_line(make_set_up_line(3, "paid", 3000));
+    late.send_line(make_setup_line(3, "paid", 3000));
     rig.run_for(20);
-    EXPECT_EQ(rig.director->engine().counts().taken, 2u);
+    EXPECT_EQ(rig.director->engine().counts().accepted, 2u);
     ASSERT_EQ(late.received.size(), before + 1);
     EXPECT_EQ(late.received.back().session, 3u);
     EXPECT_EQ(late.received.back().cause, 34);
@@ -1044,7 +1041,7 @@
             case 1: {
                 Viewer& rude = rig.connect_viewer();
                 rude.send_line(noise());
-                rude.send_line(make_set_up_line(1 + draw(static_cast<unsigned>(next)), "paid"));
+                rude.send_line(make_setup_line(1 + draw(static_cast<unsigned>(next)), "paid"));
                 break;
             }
             case 2:
@@ -1064,7 +1061,7 @@
                 }
                 break;
             default:
-                v.send_line(make_set_up_line(next, paid ? "paid" : "free one", 2000));
+                v.send_line(make_setup_line(next, paid ? "paid" : "free one", 2000));
                 asked[next++] = {&v, rig.world.now() + 2100};
         }
         rig.run_for(draw(40));
@@ -1082,8 +1079,8 @@
         // A viewer that releases another connection's pending set-up has its connection closed.
         EXPECT_TRUE(one.left || !one.viewer->open || answers + releases > 0) << id << " was not answered";
     }
-    EXPECT_EQ(rig.director->front().pending_set_ups(), 0u);
-    EXPECT_EQ(rig.director->engine().owed(), 0u);
+    EXPECT_EQ(rig.director->front().pending_setups(), 0u);
+    EXPECT_EQ(rig.director->engine().unanswered_sessions(), 0u);
     EXPECT_LE(rig.director->nodes().connections(), 24u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RelayRandomFaults, ::testing::Range(1, 101));
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -210,7 +210,7 @@
             "class_live":[false,false],"rate_factor":[1.0,1.0],"top_by_class":[1,1],"licence_cap":[0,0]}}})";
 }
 
-inline std::string make_set_up_line(
+inline std::string make_setup_line(
     std::uint64_t id, const std::string& cls, int left = 4000,
     const std::string& extras = "home:0;copies:12;top:1;viewer:00000000b4d65521",
     const std::string& more = "") {
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -108,9 +108,8 @@
     }
     std::string line_of(const Request& request) const {
         const Time left = std::max<Time>(1, request.sent + request.patience - loop_.now());
-        return relaytest::make_set_up_line(request.id,
-                                           request.cls == RequestClass::paid ? "paid" : "free one",
-                                           static_cast<int>(left)) +
+        return relaytest::make_setup_line(request.id, request.cls == RequestClass::paid ? "paid" : "free one",
+                                          static_cast<int>(left)) +
                "\n";
     }
     void send_set_up(Link& link) {
