--- a/src/discovery/consul.cpp
+++ b/src/discovery/consul.cpp
@@ -108,7 +108,7 @@
 ConsulClient::ConsulClient(io::Loop& loop, const ConsulSettings& settings, ChangeHandler on_change)
     : loop_(loop), settings_(settings), on_change_(std::move(on_change)), client_(loop, [&] {
           http::ClientLimits limits;
-          limits.parse.body = settings.max_body;
+          limits.parse.max_body_bytes = settings.max_body;
           return limits;
       }()) {
     send_query();
@@ -145,7 +145,7 @@
         retry_delay_ = std::clamp(retry_delay_ * 2, settings_.min_retry_delay, settings_.max_retry_delay);
         schedule_query(retry_delay_);
     };
-    if (result.end != http::CallEnd::response) return failed(http::name(result.end));
+    if (result.outcome != http::CallOutcome::response) return failed(http::name(result.outcome));
     const http::Response& response = result.response;
     if (response.status != 200) return failed("HTTP status " + std::to_string(response.status));
     const double last_contact =
@@ -174,7 +174,7 @@
     if (!same) on_change_(parsed.instances);  // same index: the blocking query timed out without a change
     // At least 50 ms between queries, so that a server that always answers at once does not make this a busy
     // loop.
-    schedule_query(result.waited < 50 ? 50 : 0);
+    schedule_query(result.elapsed < 50 ? 50 : 0);
 }
 
 }  // namespace ivyfield::discovery
--- a/src/discovery/srv/srv.cpp
+++ b/src/discovery/srv/srv.cpp
@@ -207,7 +207,7 @@
       events_(std::move(events)),
       poll_schedule_(loop.now()) {
     const char* any = server.host.find(':') == std::string::npos ? "0.0.0.0" : "::";
-    socket_ = loop.datagram(
+    socket_ = loop.open_datagram_socket(
         {any, 0}, [this](const io::Address& from, std::string_view bytes) { handle_datagram(from, bytes); });
     query_timer_ = loop_.after(0, [this] { send_query(); });
 }
--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -79,7 +79,7 @@
     std::uint32_t serial_;
     std::string last_response_;  // bytes of the last accepted response without its id; empty: none yet
     Events events_;
-    std::unique_ptr<io::Datagram> socket_;
+    std::unique_ptr<io::DatagramSocket> socket_;
     struct Query {
         std::uint16_t id;
         io::Time sent_at;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -32,7 +32,8 @@
     hints::CmcdSources sources;
     for (const auto carrier :
          {hints::Carrier::request, hints::Carrier::object, hints::Carrier::status, hints::Carrier::session})
-        sources.payload[static_cast<std::size_t>(carrier)] = request.headers.all(hints::header_name(carrier));
+        sources.payload[static_cast<std::size_t>(carrier)] =
+            request.headers.get_all(hints::header_name(carrier));
     sources.payload[static_cast<std::size_t>(hints::Carrier::query)] =
         http::query_argument(request.query(), "CMCD").value_or("");
     return sources;
@@ -49,7 +50,7 @@
 
 std::int64_t rung_kbps(const Settings& settings, int cls, int rung) {
     const double kb = settings.rung_kb[static_cast<std::size_t>(rung)] *
-                      settings.classes[static_cast<std::size_t>(cls)].rate_part;
+                      settings.classes[static_cast<std::size_t>(cls)].rate_factor;
     return std::llround(kb * 8);
 }
 
@@ -67,9 +68,9 @@
         variants.push_back(std::move(variant));
     };
     add_variant(rung);
-    for (int other = settings.classes[static_cast<std::size_t>(cls)].floor; other <= top; ++other)
+    for (int other = settings.classes[static_cast<std::size_t>(cls)].min_rung; other <= top; ++other)
         if (other != rung) add_variant(other);
-    return hls::write_master(variants);
+    return hls::write_master_playlist(variants);
 }
 
 // An HTTP request that waits for its session's answer.
@@ -97,7 +98,7 @@
     }
     void send(http::Response response, const hints::Keys& keys) {
         response.headers.add("CMSD-Dynamic",
-                             hints::encode_dynamic({{"ivyfield-" + front.config_.name, keys}}));
+                             hints::encode_cmsd_dynamic({{"ivyfield-" + front.config_.name, keys}}));
         response.headers.add("Cache-Control", "no-store");
         http::allow_any_origin(response.headers, kExposedResponseHeaders);
         exchange->respond(response);
@@ -117,23 +118,23 @@
         static_keys.values["st"] =
             hints::Token{settings.classes[static_cast<std::size_t>(request.cls)].live ? "l" : "v"};
         response.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, static_keys));
-        const int top =
-            std::max(where.rung,
-                     std::min(settings.classes[static_cast<std::size_t>(request.cls)].top, request.top_rung));
+        const int top = std::max(
+            where.rung,
+            std::min(settings.classes[static_cast<std::size_t>(request.cls)].max_rung, request.top_rung));
         response.body = make_master_playlist(settings, request.cls, where.rung, top, where.media);
         send(std::move(response), keys);
     }
     void on_rejected(Time retry_after) override {
         hints::Keys keys = make_dynamic_keys();
         keys.values["du"] = true;
-        http::Response response = http::plain(503, "no room now");
+        http::Response response = http::text_response(503, "no room now");
         // Whole seconds (RFC 9110, 10.2.3), rounded up: an earlier retry would be no better than one now.
         response.headers.add("Retry-After",
                              std::to_string(std::max(1L, std::lround(std::ceil(retry_after / 1000)))));
         send(std::move(response), keys);
     }
     void on_failed() override {
-        send(http::plain(504, "the session could not be set up"), make_dynamic_keys());
+        send(http::text_response(504, "the session could not be set up"), make_dynamic_keys());
     }
 };
 
@@ -145,9 +146,9 @@
           loop, config.listen,
           [&] {
               http::ServerLimits limits;
-              limits.connections = config.player_connections;
-              limits.idle = config.player_idle_ms;
-              limits.parse.body = 64 * 1024;
+              limits.max_connections = config.player_connections;
+              limits.idle_timeout = config.player_idle_ms;
+              limits.parse.max_body_bytes = 64 * 1024;
               return limits;
           }(),
           [this](const http::ExchangePtr& exchange) { handle_request(exchange); }) {}
@@ -169,7 +170,7 @@
     const auto parts = split_path(request.path());
     const auto respond_error = [&](int code, const char* why) {
         counts_.bad += 1;
-        http::Response response = http::plain(code, why);
+        http::Response response = http::text_response(code, why);
         http::allow_any_origin(response.headers, kExposedResponseHeaders);
         exchange->respond(response);
     };
@@ -180,7 +181,7 @@
         return respond_error(404, "nothing here; players ask /v1/watch/TENANT/CLASS/TITLE/master.m3u8");
     if (http::is_preflight(request)) {
         counts_.preflights += 1;
-        return exchange->respond(http::preflight_answer(kAllowedRequestHeaders, kPreflightMaxAge_s));
+        return exchange->respond(http::preflight_response(kAllowedRequestHeaders, kPreflightMaxAge_s));
     }
     if (request.method != "GET") return respond_error(405, "only GET");
     if (is_status) {
@@ -200,13 +201,13 @@
     request.cls = find_index(settings.classes, cls);
     if (request.tenant < 0 || request.cls < 0 || title.empty() || title.size() > kMaxTitleLength) {
         counts_.bad += 1;
-        http::Response response = http::plain(404, request.tenant < 0 ? "no such tenant"
-                                                   : request.cls < 0  ? "no such class"
-                                                                      : "no such title");
+        http::Response response = http::text_response(404, request.tenant < 0 ? "no such tenant"
+                                                           : request.cls < 0  ? "no such class"
+                                                                              : "no such title");
         http::allow_any_origin(response.headers, kExposedResponseHeaders);
         return exchange->respond(response);
     }
-    const hints::Decoded cmcd = hints::decode_cmcd(collect_cmcd_sources(exchange->request()));
+    const hints::DecodedKeys cmcd = hints::decode_cmcd(collect_cmcd_sources(exchange->request()));
     counts_.hints_dropped += cmcd.dropped.size();
     request.sid = cmcd.keys.text("sid").value_or("");
     if (request.sid.empty()) request.sid = generate_sid();
@@ -216,11 +217,11 @@
     request.first_cell =
         settings.cells > 0 ? static_cast<int>(request.title % static_cast<std::uint64_t>(settings.cells)) : 0;
     const ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(request.cls)];
-    request.top_rung = class_settings.top;
+    request.top_rung = class_settings.max_rung;
     // tb is the highest bitrate that this player can use. If even the class's lowest rung is above it, the
     // player can use none and gets the lowest.
     if (const auto top = cmcd.keys.integer("tb")) {
-        while (request.top_rung > class_settings.floor &&
+        while (request.top_rung > class_settings.min_rung &&
                rung_kbps(settings, request.cls, request.top_rung) > *top)
             request.top_rung -= 1;
     }
@@ -228,7 +229,7 @@
     auto owned = std::make_unique<PendingRequest>(*this, number, exchange, request);
     PendingRequest& pending = *owned;
     pending_requests_.emplace(number, std::move(owned));
-    exchange->on_gone([this, number] {
+    exchange->on_disconnect([this, number] {
         const auto it = pending_requests_.find(number);
         if (it == pending_requests_.end() || it->second->finished) return;
         counts_.gone += 1;
--- a/src/fronts/http/front.hpp
+++ b/src/fronts/http/front.hpp
@@ -35,7 +35,7 @@
     // For a graceful shutdown; see http::Server.
     void drain() { server_.drain(); }
     void stop_listening() { server_.stop_listening(); }
-    std::size_t connection_count() const { return server_.open(); }
+    std::size_t connection_count() const { return server_.open_connections(); }
     const HttpFrontCounts& counts() const { return counts_; }
     const http::ServerCounts& http_counts() const { return server_.counts(); }
     std::function<std::string()> render_status;  // returns the body of /v1/status
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -65,7 +65,7 @@
     std::set<SessionId> pending_setups;  // set-ups to be answered on it
     std::set<SessionId> established;     // sessions set up on it and not yet ended
     bool has_carried_setup = false;      // a well-formed set-up has been received on it
-    bool received_ping = false;          // a ping has been received and answered on it
+    bool has_answered_ping = false;      // a ping has been received and answered on it
     bool closing = false;                // our end has been sent; input is discarded
     bool rejects_set_ups = false;    // after a repeated session number; closed once nothing is pending on it
     bool output_overflowed = false;  // the client does not read; about to be dropped
@@ -86,8 +86,8 @@
     void on_data(std::string_view bytes) override { owner.handle_data(*this, bytes); }
     // Clients never half-close: one that has ended its side no longer waits for answers.
     void on_end() override { owner.handle_client_close(*this, CloseReason::client_end); }
-    void on_drained() override {}
-    void on_closed(io::Closing) override { owner.handle_client_close(*this, CloseReason::client_reset); }
+    void on_flushed() override {}
+    void on_closed(io::CloseReason) override { owner.handle_client_close(*this, CloseReason::client_reset); }
 };
 
 // A set-up that waits for its answer.
@@ -177,7 +177,7 @@
 // Reads what has already arrived first; if that includes a set-up, the connection stays. Output already
 // written is still sent: a stream that has been ended is not reset when it is destroyed.
 void RelayFront::evict(Connection& connection) {
-    connection.stream->receive_arrived();
+    connection.stream->read_available();
     if (connection.removed || !connection.pending_setups.empty()) return;
     connection.stream->end();
     counts_.shed += 1;
@@ -268,7 +268,7 @@
 }
 
 void RelayFront::close_if_idle(Connection& connection) {
-    connection.stream->receive_arrived();
+    connection.stream->read_available();
     if (!connection.removed && connection.pending_setups.empty())
         close_gracefully(connection, CloseReason::idle);
 }
@@ -301,7 +301,7 @@
     for (Connection* connection : drained) {
         if (connection->removed) continue;
         // A request already in the receive buffer was sent before our end and has to be answered.
-        connection->stream->receive_arrived();
+        connection->stream->read_available();
         if (is_drained(*connection)) close_gracefully(*connection, CloseReason::drained);
     }
 }
@@ -383,7 +383,7 @@
             return handle_release(connection, message);
         case Type::ping: {
             counts_.pings += 1;
-            connection.received_ping = true;
+            connection.has_answered_ping = true;
             ViewerMessage pong;
             pong.type = Type::pong, pong.id = message.id, pong.cause = relay::kCausePassed;
             return send_message(connection, pong);
@@ -573,8 +573,8 @@
 RelayFront::Connection* RelayFront::find_connection_for_end_notice(io::Time waited) const {
     Connection* best = nullptr;
     for (const auto& connection : connections_) {
-        if (connection->closing ||
-            !decide::can_carry_end_notice(connection->has_carried_setup, connection->received_ping, waited))
+        if (connection->closing || !decide::can_carry_end_notice(connection->has_carried_setup,
+                                                                 connection->has_answered_ping, waited))
             continue;
         if (!best || std::make_pair(connection->has_carried_setup, connection->last_used) >
                          std::make_pair(best->has_carried_setup, best->last_used))
--- a/tests/relay/process.hpp
+++ b/tests/relay/process.hpp
@@ -127,7 +127,7 @@
   public:
     // With `backlog` 0 a node's accept queue holds one connection; further ones are not established.
     explicit ProcessRig(int node_count = 1, int sockets = 256, int backlog = 64) : sockets_(sockets) {
-        folder_ = io::temporary_folder();
+        folder_ = io::create_temporary_folder();
         for (int k = 0; k < node_count; ++k) {
             nodes_.push_back(open_listener(backlog));
             listed.push_back({"s-" + std::to_string(k),
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -39,7 +39,7 @@
             if (owner.on_link_end) owner.on_link_end(*this);
             stream->end();
         }
-        void on_closed(io::Closing) override { open = false; }
+        void on_closed(io::CloseReason) override { open = false; }
         void send(const NodeMessage& m) { stream->write(relay::write_frame(m)); }
         void send(Type type, std::uint64_t session, int cause = -1,
                   std::map<int, std::string> parameters = {}) {
@@ -70,7 +70,7 @@
     }
     void on_data(std::string_view) override {}
     void on_end() override {}
-    void on_closed(io::Closing) override {}
+    void on_closed(io::CloseReason) override {}
     std::size_t count_open_links() const {
         std::size_t n = 0;
         for (const Link& link : links) n += link.open;
@@ -101,7 +101,7 @@
         }
     }
     void on_end() override { stream->end(); }
-    void on_closed(io::Closing) override { open = false; }
+    void on_closed(io::CloseReason) override { open = false; }
     void send_line(const std::string& line) { stream->write(line + "\n"); }
     std::vector<ViewerMessage> received_of(Type type) const {
         std::vector<ViewerMessage> out;
@@ -155,7 +155,7 @@
 
 // A name server whose responses can be changed, delayed or suppressed.
 struct NameServer {
-    std::unique_ptr<io::Datagram> socket;
+    std::unique_ptr<io::DatagramSocket> socket;
     std::uint32_t serial;
     std::vector<ListedNode> nodes;
     int query_count = 0;
@@ -165,14 +165,15 @@
     NameServer(io::Loop& loop, const io::Address& at, std::uint32_t first_serial,
                std::vector<ListedNode> first_nodes)
         : serial(first_serial), nodes(std::move(first_nodes)) {
-        socket = loop.datagram(at, [this, &loop](const io::Address& from, std::string_view query) {
-            query_count += 1;
-            std::string response = make_dns_response(query, serial, nodes);
-            if (corrupt) response = corrupt(response);
-            if (response.empty() || response_delay < 0) return;
-            pending_responses.push_back(
-                loop.after(response_delay, [this, from, response] { socket->send(from, response); }));
-        });
+        socket =
+            loop.open_datagram_socket(at, [this, &loop](const io::Address& from, std::string_view query) {
+                query_count += 1;
+                std::string response = make_dns_response(query, serial, nodes);
+                if (corrupt) response = corrupt(response);
+                if (response.empty() || response_delay < 0) return;
+                pending_responses.push_back(
+                    loop.after(response_delay, [this, from, response] { socket->send(from, response); }));
+            });
     }
 };
 
