--- a/tests/discovery/consul_test.cpp
+++ b/tests/discovery/consul_test.cpp
@@ -1,4 +1,4 @@
-// The list client against a server that answers as Consul's documentation says, and worse.
+// ConsulClient against a server that answers as Consul's documentation says, and with faults.
 #include "discovery/consul.hpp"
 
 #include <gtest/gtest.h>
@@ -18,15 +18,15 @@
            more + "}},\"Checks\":" + checks + "}";
 }
 
-TEST(Health, InstancesAsTheyAreListed) {
+TEST(Health, ParsesInstancesAndLeavesOutInvalidOnes) {
     const std::string maintenance = R"([{"CheckID":"_service_maintenance:c","Status":"critical"}])";
-    const Parsed p =
-        parse_health("[" + instance("a", ",\"position\":\"7\",\"started_ms\":\"1000000\"") + "," +
-                         instance("b", ",\"state\":\"draining\"") + "," + instance("c", "", maintenance) +
-                         "," + instance("d", "", R"([{"CheckID":"serfHealth","Status":"critical"}])") + "," +
-                         instance("e", ",\"kind\":\"odd\"") + "," + instance("a") + "," +
-                         instance("f", ",\"position\":\"x\"") + ",{},5]",
-                     {"small", "large"}, 500, 1000400);
+    const HealthResponse p = parse_health_response(
+        "[" + instance("a", ",\"position\":\"7\",\"started_ms\":\"1000000\"") + "," +
+            instance("b", ",\"state\":\"draining\"") + "," + instance("c", "", maintenance) + "," +
+            instance("d", "", R"([{"CheckID":"serfHealth","Status":"critical"}])") + "," +
+            instance("e", ",\"kind\":\"odd\"") + "," + instance("a") + "," +
+            instance("f", ",\"position\":\"x\"") + ",{},5]",
+        {"small", "large"}, 500, 1000400);
     ASSERT_EQ(p.instances.size(), 4u);
     EXPECT_EQ(p.instances[0].entry.kind, 1);
     EXPECT_EQ(p.instances[0].entry.position, 7);
@@ -35,13 +35,13 @@
     EXPECT_EQ(p.instances[1].entry.state, ServerState::draining);
     EXPECT_EQ(p.instances[2].entry.state, ServerState::draining);
     EXPECT_EQ(p.instances[3].entry.state, ServerState::gone);
-    EXPECT_EQ(p.left_out.size(), 5u);
-    EXPECT_THROW(parse_health("{}", {}, 0, 0), std::invalid_argument);
-    EXPECT_THROW(parse_health("[", {}, 0, 0), std::invalid_argument);
+    EXPECT_EQ(p.errors.size(), 5u);
+    EXPECT_THROW(parse_health_response("{}", {}, 0, 0), std::invalid_argument);
+    EXPECT_THROW(parse_health_response("[", {}, 0, 0), std::invalid_argument);
 }
-TEST(Health, NumbersStayThroughRestartsAndTellAddressesApart) {
+TEST(Health, ServerIdsAreStableAndDistinct) {
     const auto id = [](const std::string& body) {
-        return parse_health(body, {"large"}, 0, 0).instances.at(0).entry.id;
+        return parse_health_response(body, {"large"}, 0, 0).instances.at(0).entry.id;
     };
     EXPECT_EQ(id("[" + instance("a") + "]"), id("[" + instance("a") + "]"));
     EXPECT_NE(id("[" + instance("a") + "]"), id("[" + instance("b") + "]"));
@@ -55,13 +55,14 @@
     http::Server server{
         there, {"127.0.0.1", 8500}, {}, [this](const http::ExchangePtr& e) { held.push_back(e); }};
     std::vector<std::size_t> lists;
-    std::unique_ptr<Consul> consul;
+    std::unique_ptr<ConsulClient> consul;
     void SetUp() override {
         ConsulSettings s;
         s.address = {"127.0.0.1", 8500};
         s.service = "media";
         s.kinds = {"large"};
-        consul = std::make_unique<Consul>(here, s, [this](const auto& all) { lists.push_back(all.size()); });
+        consul =
+            std::make_unique<ConsulClient>(here, s, [this](const auto& all) { lists.push_back(all.size()); });
         run(100);
     }
     void run(double ms) { world.run_until(world.now() + ms); }
@@ -79,22 +80,22 @@
     std::string target() { return held.empty() ? "" : held.back()->request().target; }
 };
 
-TEST_F(ConsulTest, BlocksOnTheIndexAndTellsChangesOnly) {
+TEST_F(ConsulTest, BlocksOnTheIndexAndReportsOnlyChanges) {
     EXPECT_EQ(target(), "/v1/health/service/media?wait=30000ms&stale");
     answer("[" + instance("a") + "]", "10");
     EXPECT_EQ(target(), "/v1/health/service/media?wait=30000ms&index=10&stale");
-    answer("[" + instance("a") + "]", "10");  // the wait ran out
+    answer("[" + instance("a") + "]", "10");  // the blocking query timed out
     answer("[" + instance("a") + "," + instance("b") + "]", "12");
     EXPECT_EQ(lists, (std::vector<std::size_t>{1, 2}));
 }
-TEST_F(ConsulTest, AnIndexThatFallsStartsAnew) {
+TEST_F(ConsulTest, ADecreasingIndexStartsFromZero) {
     answer("[" + instance("a") + "]", "100");
     answer("[]", "7");
     EXPECT_EQ(consul->counts().resets, 1u);
     EXPECT_EQ(target(), "/v1/health/service/media?wait=30000ms&stale");
     EXPECT_EQ(lists, (std::vector<std::size_t>{1, 0}));
 }
-TEST_F(ConsulTest, OldMalformedAndFailedAnswersLeaveTheList) {
+TEST_F(ConsulTest, StaleMalformedAndFailedResponsesLeaveTheList) {
     answer("[" + instance("a") + "]", "5");
     answer("[]", "6", "90000");
     run(1000);
@@ -106,7 +107,7 @@
     EXPECT_EQ(lists, (std::vector<std::size_t>{1}));
     EXPECT_EQ(consul->counts().failures, 3u);
     EXPECT_EQ(consul->counts().too_old, 1u);
-    EXPECT_FALSE(consul->last_fault().empty());
+    EXPECT_FALSE(consul->last_error().empty());
     answer("[]", "8");
     EXPECT_EQ(lists, (std::vector<std::size_t>{1, 0}));
 }
