--- a/src/discovery/srv/srv.cpp
+++ b/src/discovery/srv/srv.cpp
@@ -39,8 +39,7 @@
 constexpr std::size_t kMaxNameText = 4 * 255 + 1;
 // Converts a domain name to lower-case text (names are case-insensitive, RFC 1035 2.3.3) without the final
 // dot. ldns_rdf2str() is avoided: it allocates 64 KB per name, and small long-lived allocations settled in
-// the gaps that these left, so that the heap grew by 6 KB per second although less than 1 MB of it was in
-// use.
+// the gaps that these left, so that the heap grew by 6 KB per second with less than 1 MB of it in use.
 std::string name_to_text(const ldns_rdf* name) {
     Buffer buffer;
     buffer.object = ldns_buffer_new(kMaxNameText);
@@ -60,17 +59,17 @@
 
 // Reads the "key=value" strings of a TXT record; others are ignored.
 std::map<std::string, std::string> read_txt_pairs(const ldns_rr* rr) {
-    std::map<std::string, std::string> out;
+    std::map<std::string, std::string> pairs;
     for (std::size_t k = 0; k < ldns_rr_rd_count(rr); ++k) {
-        const ldns_rdf* f = ldns_rr_rdf(rr, k);
-        const std::uint8_t* data = ldns_rdf_data(f);
-        if (ldns_rdf_size(f) < 1) continue;
-        const std::string one(reinterpret_cast<const char*>(data) + 1,
-                              std::min<std::size_t>(data[0], ldns_rdf_size(f) - 1));
-        const std::size_t eq = one.find('=');
-        if (eq != std::string::npos) out[one.substr(0, eq)] = one.substr(eq + 1);
+        const ldns_rdf* rdata = ldns_rr_rdf(rr, k);
+        const std::uint8_t* data = ldns_rdf_data(rdata);
+        if (ldns_rdf_size(rdata) < 1) continue;
+        const std::string pair(reinterpret_cast<const char*>(data) + 1,
+                               std::min<std::size_t>(data[0], ldns_rdf_size(rdata) - 1));
+        const std::size_t equals = pair.find('=');
+        if (equals != std::string::npos) pairs[pair.substr(0, equals)] = pair.substr(equals + 1);
     }
-    return out;
+    return pairs;
 }
 
 }  // namespace
@@ -84,9 +83,9 @@
     std::uint8_t* wire = nullptr;
     std::size_t size = 0;
     const ldns_status status = ldns_pkt2wire(&wire, packet.object, &size);
-    std::string out = status == LDNS_STATUS_OK ? std::string(reinterpret_cast<char*>(wire), size) : "";
+    std::string query = status == LDNS_STATUS_OK ? std::string(reinterpret_cast<char*>(wire), size) : "";
     LDNS_FREE(wire);
-    return out;
+    return query;
 }
 
 std::optional<SrvResponse> parse_srv_response(std::string_view bytes, const std::string& name,
@@ -114,13 +113,13 @@
     if (name_to_text(ldns_rr_owner(question)) != wanted || ldns_rr_get_type(question) != LDNS_RR_TYPE_SRV)
         return fail("the response is for another question");
 
-    SrvResponse answer;
+    SrvResponse response;
     bool has_serial = false;
     const ldns_rr_list* authority = ldns_pkt_authority(packet);
     for (std::size_t k = 0; k < ldns_rr_list_rr_count(authority); ++k) {
         const ldns_rr* rr = ldns_rr_list_rr(authority, k);
         if (ldns_rr_get_type(rr) != LDNS_RR_TYPE_SOA || ldns_rr_rd_count(rr) < 3) continue;
-        answer.serial = ldns_rdf2native_int32(ldns_rr_rdf(rr, 2));
+        response.serial = ldns_rdf2native_int32(ldns_rr_rdf(rr, 2));
         has_serial = true;
     }
     if (!has_serial) return fail("no SOA record with a serial");
@@ -142,8 +141,8 @@
             switch (ldns_rr_get_type(rr)) {
                 case LDNS_RR_TYPE_SRV: {
                     if (owner != wanted || ldns_rr_rd_count(rr) < 4) break;
-                    const auto integer = [&](std::size_t n) {
-                        return ldns_rdf2native_int16(ldns_rr_rdf(rr, n));
+                    const auto integer = [&](std::size_t index) {
+                        return ldns_rdf2native_int16(ldns_rr_rdf(rr, index));
                     };
                     if (!services
                              .emplace(name_to_text(ldns_rr_rdf(rr, 3)),
@@ -192,9 +191,9 @@
             return fail("node " + target + ": cell or started is missing or invalid");
         member.cell = static_cast<int>(*cell);
         member.started_unix_ms = *started;
-        answer.members.emplace(member.uid, member);
+        response.members.emplace(member.uid, member);
     }
-    return answer;
+    return response;
 }
 
 SrvPoller::SrvPoller(io::Loop& loop, const io::Address& server, const std::string& name,
@@ -206,9 +205,10 @@
       serial_(known_serial),
       events_(std::move(events)),
       poll_schedule_(loop.now()) {
-    const char* any = server.host.find(':') == std::string::npos ? "0.0.0.0" : "::";
+    const char* any_address = server.host.find(':') == std::string::npos ? "0.0.0.0" : "::";
     socket_ = loop.open_datagram_socket(
-        {any, 0}, [this](const io::Address& from, std::string_view bytes) { handle_datagram(from, bytes); });
+        {any_address, 0},
+        [this](const io::Address& from, std::string_view bytes) { handle_datagram(from, bytes); });
     query_timer_ = loop_.after(0, [this] { send_query(); });
 }
 
@@ -250,27 +250,27 @@
         open_queries_.erase(it);
         return confirm_list(fresh);
     }
-    const auto answer = parse_srv_response(bytes, name_, id, last_error_);
-    if (!answer) {
+    const auto response = parse_srv_response(bytes, name_, id, last_error_);
+    if (!response) {
         counts_.bad += 1;
         return;
     }
     open_queries_.erase(it);
-    handle_response(*answer, bytes, fresh);
+    handle_response(*response, bytes, fresh);
 }
 
-void SrvPoller::handle_response(const SrvResponse& answer, std::string_view bytes, bool fresh) {
-    if (answer.serial < serial_) {
+void SrvPoller::handle_response(const SrvResponse& response, std::string_view bytes, bool fresh) {
+    if (response.serial < serial_) {
         poll_schedule_.record_answer(loop_.now());
         counts_.older += 1;
         return;
     }
     last_response_ = bytes.substr(kMessageIdSize);
-    if (answer.serial == serial_) return confirm_list(fresh);
+    if (response.serial == serial_) return confirm_list(fresh);
     poll_schedule_.record_answer(loop_.now());
     counts_.taken += 1;
-    serial_ = answer.serial;
-    events_.on_changed(answer.members);
+    serial_ = response.serial;
+    events_.on_changed(response.members);
 }
 
 void SrvPoller::confirm_list(bool fresh) {
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -107,10 +107,10 @@
         front.loop_.post(
             [owner = &front, request_number = number] { owner->pending_requests_.erase(request_number); });
     }
-    void on_established(const core::Placement& where) override {
+    void on_established(const core::Placement& placement) override {
         const Settings& settings = front.config_.settings;
         hints::Keys keys = make_dynamic_keys();
-        keys.values["mb"] = rung_kbps(settings, request.cls, where.rung);
+        keys.values["mb"] = rung_kbps(settings, request.cls, placement.rung);
         http::Response response;
         response.headers.add("Content-Type", "application/vnd.apple.mpegurl");
         hints::Keys static_keys;
@@ -119,9 +119,9 @@
             hints::Token{settings.classes[static_cast<std::size_t>(request.cls)].live ? "l" : "v"};
         response.headers.add("CMSD-Static", hints::encode_keys(hints::Vocabulary::cmsd_static, static_keys));
         const int top = std::max(
-            where.rung,
+            placement.rung,
             std::min(settings.classes[static_cast<std::size_t>(request.cls)].max_rung, request.top_rung));
-        response.body = make_master_playlist(settings, request.cls, where.rung, top, where.media);
+        response.body = make_master_playlist(settings, request.cls, placement.rung, top, placement.media);
         send(std::move(response), keys);
     }
     void on_rejected(Time retry_after) override {
--- a/src/nodes/link.cpp
+++ b/src/nodes/link.cpp
@@ -221,7 +221,7 @@
     node.stream = client_.send(node.address, std::move(request), std::move(options),
                                [this, at](const http::CallResult& r) {
                                    stream_lost(*at, r.outcome == http::CallOutcome::not_connected &&
-                                                        r.close_reason == io::CloseReason::refused);
+                                                        r.close_status == io::CloseStatus::refused);
                                });
 }
 
@@ -430,7 +430,7 @@
             loop_.post([self] {});
             const bool answered = r.outcome == http::CallOutcome::response && r.response.status == 200;
             const bool nobody =
-                r.outcome == http::CallOutcome::not_connected && r.close_reason == io::CloseReason::refused;
+                r.outcome == http::CallOutcome::not_connected && r.close_status == io::CloseStatus::refused;
             const auto named = std::move(at.releasing);
             at.releasing.clear();
             if (answered || nobody) {
@@ -462,11 +462,11 @@
     }
     const ServerId server = what.server;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(what.request.cls)];
-    json body = {{"protocol", kProtocol},   {"director", director_},
-                 {"session", what.session}, {"attempt", what.attempt},
-                 {"sid", what.request.sid}, {"class", cls.name},
-                 {"rung", what.rung},       {"title", what.request.title_name},
-                 {"paid", what.paid}};
+    json body = {{"protocol", kProtocol},      {"director", director_},
+                 {"session", what.session},    {"attempt", what.attempt},
+                 {"sid", what.request.sid},    {"class", cls.name},
+                 {"rung", what.rung},          {"title", what.request.title_name},
+                 {"paid", what.non_idempotent}};
     if (!settings_.tenants.empty())
         body["tenant"] = settings_.tenants[static_cast<std::size_t>(what.request.tenant)].name;
     http::Request request;
@@ -478,7 +478,7 @@
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;  // the core's expiry ends it
     // A connection that its other side is closing just now would leave a paid set-up in doubt.
-    options.new_connection = what.paid;
+    options.new_connection = what.non_idempotent;
     it->second->account.sent(key);
     set_ups_[key] = client_.send(
         it->second->address, std::move(request), std::move(options),
--- a/tests/discovery/consul_test.cpp
+++ b/tests/discovery/consul_test.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-std::string instance(const std::string& id, const std::string& more = "", const std::string& checks = "[]") {
+std::string instance_json(const std::string& id, const std::string& more = "",
+                          const std::string& checks = "[]") {
     return "{\"Node\":{\"Address\":\"127.0.0.9\"},\"Service\":{\"ID\":\"" + id +
            "\",\"Address\":\"127.0.0.1\",\"Port\":90,\"Weights\":{\"Passing\":2},\"Meta\":{\"kind\":"
            "\"large\"" +
@@ -21,11 +22,11 @@
 TEST(Health, ParsesInstancesAndLeavesOutInvalidOnes) {
     const std::string maintenance = R"([{"CheckID":"_service_maintenance:c","Status":"critical"}])";
     const HealthResponse p = parse_health_response(
-        "[" + instance("a", ",\"position\":\"7\",\"started_ms\":\"1000000\"") + "," +
-            instance("b", ",\"state\":\"draining\"") + "," + instance("c", "", maintenance) + "," +
-            instance("d", "", R"([{"CheckID":"serfHealth","Status":"critical"}])") + "," +
-            instance("e", ",\"kind\":\"odd\"") + "," + instance("a") + "," +
-            instance("f", ",\"position\":\"x\"") + ",{},5]",
+        "[" + instance_json("a", ",\"position\":\"7\",\"started_ms\":\"1000000\"") + "," +
+            instance_json("b", ",\"state\":\"draining\"") + "," + instance_json("c", "", maintenance) + "," +
+            instance_json("d", "", R"([{"CheckID":"serfHealth","Status":"critical"}])") + "," +
+            instance_json("e", ",\"kind\":\"odd\"") + "," + instance_json("a") + "," +
+            instance_json("f", ",\"position\":\"x\"") + ",{},5]",
         {"small", "large"}, 500, 1000400);
     ASSERT_EQ(p.instances.size(), 4u);
     EXPECT_EQ(p.instances[0].entry.kind, 1);
@@ -43,73 +44,77 @@
     const auto id = [](const std::string& body) {
         return parse_health_response(body, {"large"}, 0, 0).instances.at(0).entry.id;
     };
-    EXPECT_EQ(id("[" + instance("a") + "]"), id("[" + instance("a") + "]"));
-    EXPECT_NE(id("[" + instance("a") + "]"), id("[" + instance("b") + "]"));
+    EXPECT_EQ(id("[" + instance_json("a") + "]"), id("[" + instance_json("a") + "]"));
+    EXPECT_NE(id("[" + instance_json("a") + "]"), id("[" + instance_json("b") + "]"));
 }
 
 struct ConsulTest : testing::Test {
     io::World world{3};
-    io::VirtualLoop& there = world.start("consul");
-    io::VirtualLoop& here = world.start("director");
-    std::vector<http::ExchangePtr> held;
-    http::Server server{
-        there, {"127.0.0.1", 8500}, {}, [this](const http::ExchangePtr& e) { held.push_back(e); }};
-    std::vector<std::size_t> lists;
+    io::VirtualLoop& consul_loop = world.start("consul");
+    io::VirtualLoop& director_loop = world.start("director");
+    std::vector<http::ExchangePtr> pending_exchanges;
+    http::Server server{consul_loop, {"127.0.0.1", 8500}, {}, [this](const http::ExchangePtr& e) {
+                            pending_exchanges.push_back(e);
+                        }};
+    std::vector<std::size_t> list_sizes;
     std::unique_ptr<ConsulClient> consul;
     void SetUp() override {
         ConsulSettings s;
         s.address = {"127.0.0.1", 8500};
         s.service = "media";
         s.kinds = {"large"};
-        consul =
-            std::make_unique<ConsulClient>(here, s, [this](const auto& all) { lists.push_back(all.size()); });
-        run(100);
+        consul = std::make_unique<ConsulClient>(
+            director_loop, s, [this](const auto& all) { list_sizes.push_back(all.size()); });
+        run_for(100);
     }
-    void run(double ms) { world.run_until(world.now() + ms); }
-    void answer(const std::string& body, const std::string& index, const std::string& contact = "0") {
-        ASSERT_FALSE(held.empty());
+    void run_for(double ms) { world.run_until(world.now() + ms); }
+    void respond_with(const std::string& body, const std::string& index,
+                      const std::string& last_contact = "0") {
+        ASSERT_FALSE(pending_exchanges.empty());
         http::Response r;
         r.headers.add("X-Consul-Index", index);
-        r.headers.add("X-Consul-LastContact", contact);
+        r.headers.add("X-Consul-LastContact", last_contact);
         r.body = body;
-        const auto e = held.back();
-        held.clear();
+        const auto e = pending_exchanges.back();
+        pending_exchanges.clear();
         e->respond(r);
-        run(200);
+        run_for(200);
+    }
+    std::string requested_target() {
+        return pending_exchanges.empty() ? "" : pending_exchanges.back()->request().target;
     }
-    std::string target() { return held.empty() ? "" : held.back()->request().target; }
 };
 
 TEST_F(ConsulTest, BlocksOnTheIndexAndReportsOnlyChanges) {
-    EXPECT_EQ(target(), "/v1/health/service/media?wait=30000ms&stale");
-    answer("[" + instance("a") + "]", "10");
-    EXPECT_EQ(target(), "/v1/health/service/media?wait=30000ms&index=10&stale");
-    answer("[" + instance("a") + "]", "10");  // the blocking query timed out
-    answer("[" + instance("a") + "," + instance("b") + "]", "12");
-    EXPECT_EQ(lists, (std::vector<std::size_t>{1, 2}));
+    EXPECT_EQ(requested_target(), "/v1/health/service/media?wait=30000ms&stale");
+    respond_with("[" + instance_json("a") + "]", "10");
+    EXPECT_EQ(requested_target(), "/v1/health/service/media?wait=30000ms&index=10&stale");
+    respond_with("[" + instance_json("a") + "]", "10");  // the blocking query timed out
+    respond_with("[" + instance_json("a") + "," + instance_json("b") + "]", "12");
+    EXPECT_EQ(list_sizes, (std::vector<std::size_t>{1, 2}));
 }
 TEST_F(ConsulTest, ADecreasingIndexStartsFromZero) {
-    answer("[" + instance("a") + "]", "100");
-    answer("[]", "7");
+    respond_with("[" + instance_json("a") + "]", "100");
+    respond_with("[]", "7");
     EXPECT_EQ(consul->counts().resets, 1u);
-    EXPECT_EQ(target(), "/v1/health/service/media?wait=30000ms&stale");
-    EXPECT_EQ(lists, (std::vector<std::size_t>{1, 0}));
+    EXPECT_EQ(requested_target(), "/v1/health/service/media?wait=30000ms&stale");
+    EXPECT_EQ(list_sizes, (std::vector<std::size_t>{1, 0}));
 }
 TEST_F(ConsulTest, StaleMalformedAndFailedResponsesLeaveTheList) {
-    answer("[" + instance("a") + "]", "5");
-    answer("[]", "6", "90000");
-    run(1000);
-    answer("not json", "7");
-    run(3000);
-    ASSERT_FALSE(held.empty());
-    held.back()->respond(http::text_response(500, "No cluster leader"));
-    run(10000);
-    EXPECT_EQ(lists, (std::vector<std::size_t>{1}));
+    respond_with("[" + instance_json("a") + "]", "5");
+    respond_with("[]", "6", "90000");
+    run_for(1000);
+    respond_with("not json", "7");
+    run_for(3000);
+    ASSERT_FALSE(pending_exchanges.empty());
+    pending_exchanges.back()->respond(http::text_response(500, "No cluster leader"));
+    run_for(10000);
+    EXPECT_EQ(list_sizes, (std::vector<std::size_t>{1}));
     EXPECT_EQ(consul->counts().failures, 3u);
     EXPECT_EQ(consul->counts().too_old, 1u);
     EXPECT_FALSE(consul->last_error().empty());
-    answer("[]", "8");
-    EXPECT_EQ(lists, (std::vector<std::size_t>{1, 0}));
+    respond_with("[]", "8");
+    EXPECT_EQ(list_sizes, (std::vector<std::size_t>{1, 0}));
 }
 
 }  // namespace
--- a/tests/relay/codec_test.cpp
+++ b/tests/relay/codec_test.cpp
@@ -8,11 +8,11 @@
 namespace ivyfield::relay {
 namespace {
 
-const char* kSetUp = R"({"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"paid","left":1500},)"
-                     R"("sdp":"9d41\r\nc=IN IP4 10.4.7.9\r\n"})";
+const char* kSetupLine = R"({"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"paid","left":1500},)"
+                         R"("sdp":"9d41\r\nc=IN IP4 10.4.7.9\r\n"})";
 
 TEST(RelayLine, ReadsASetUp) {
-    const auto line = read_line(kSetUp);
+    const auto line = read_line(kSetupLine);
     const auto& m = std::get<ViewerMessage>(line);
     EXPECT_EQ(m.type, Type::setup);
     EXPECT_EQ(m.session, 0x9b1f03aa5c7e2d41u);
@@ -60,14 +60,14 @@
 }
 
 TEST(RelayLine, DecodesAcrossAnySplit) {
-    const std::string all = std::string(kSetUp) + "\n" + kSetUp + "\n";
+    const std::string all = std::string(kSetupLine) + "\n" + kSetupLine + "\n";
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
         LineDecoder decoder;
         int lines = 0;
         for (std::string_view part :
              {std::string_view(all).substr(0, cut), std::string_view(all).substr(cut)}) {
             while (!part.empty()) {
-                if (const auto line = decoder.next(part)) lines += *line == kSetUp;
+                if (const auto line = decoder.next(part)) lines += *line == kSetupLine;
             }
         }
         EXPECT_EQ(lines, 2) << cut;
@@ -86,7 +86,7 @@
     EXPECT_FALSE(decoder.partial());
 }
 
-NodeMessage set_up() {
+NodeMessage make_setup_message() {
     NodeMessage m;
     m.type = Type::setup, m.session = 0x9b1f03aa5c7e2d41u;
     m.parameters = {{33, "paid"}, {35, "1500"}, {41, "7f3a9c21e0b4d655"}, {55, "2"}, {63, "v=0\r\n"}};
@@ -100,7 +100,7 @@
 }
 
 TEST(RelayFrame, DecodesAcrossAnySplit) {
-    const std::string all = write_frame(set_up()) + write_frame(set_up());
+    const std::string all = write_frame(make_setup_message()) + write_frame(make_setup_message());
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
         FrameDecoder decoder;
         int messages = 0;
@@ -147,7 +147,7 @@
     std::mt19937 random(7);
     const auto draw = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
     for (int k = 0; k < 20000; ++k) {
-        std::string frame = write_frame(set_up()), line = std::string(kSetUp) + "\n";
+        std::string frame = write_frame(make_setup_message()), line = std::string(kSetupLine) + "\n";
         for (std::string* text : {&frame, &line})
             for (std::size_t n = 1 + draw(4); n > 0; --n) {
                 const std::size_t at = draw(text->size());
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -39,7 +39,7 @@
             if (owner.on_link_end) owner.on_link_end(*this);
             stream->end();
         }
-        void on_closed(io::CloseReason) override { open = false; }
+        void on_closed(io::CloseStatus) override { open = false; }
         void send(const NodeMessage& m) { stream->write(relay::write_frame(m)); }
         void send(Type type, std::uint64_t session, int cause = -1,
                   std::map<int, std::string> parameters = {}) {
@@ -70,7 +70,7 @@
     }
     void on_data(std::string_view) override {}
     void on_end() override {}
-    void on_closed(io::CloseReason) override {}
+    void on_closed(io::CloseStatus) override {}
     std::size_t count_open_links() const {
         std::size_t n = 0;
         for (const Link& link : links) n += link.open;
@@ -101,7 +101,7 @@
         }
     }
     void on_end() override { stream->end(); }
-    void on_closed(io::CloseReason) override { open = false; }
+    void on_closed(io::CloseStatus) override { open = false; }
     void send_line(const std::string& line) { stream->write(line + "\n"); }
     std::vector<ViewerMessage> received_of(Type type) const {
         std::vector<ViewerMessage> out;
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -9,26 +9,26 @@
 namespace ivyfield::relaytest {
 namespace {
 
-struct Named {
+struct ClassSpec {
     std::string name, effect;
-    double aim, patience, worth;
+    double startup_target, patience, importance;
     int floor, top, seats;
     bool live;
-    double part;
+    double rate_factor;
 };
-struct Org {
+struct TenantSpec {
     std::string name;
     double quota, share;
 };
 
-std::string settings_text(const std::vector<Named>& classes, const std::vector<Org>& orgs) {
-    const auto each = [](const auto& all, const auto& one) {
+std::string settings_text(const std::vector<ClassSpec>& classes, const std::vector<TenantSpec>& orgs) {
+    const auto join = [](const auto& all, const auto& one) {
         std::string text;
         for (const auto& item : all) text += (text.empty() ? "" : ",") + one(item);
         return text;
     };
     std::string text = make_director_config({{"s-0", {"127.0.0.1", 9001}}}, "127.0.0.1:5300", 256, 8000);
-    const auto put = [&](const std::string& key, const std::string& value) {
+    const auto replace_list = [&](const std::string& key, const std::string& value) {
         const std::size_t at = text.find("\"" + key + "\":[");
         ASSERT_NE(at, std::string::npos) << key;
         const std::size_t from = at + key.size() + 4;
@@ -38,27 +38,28 @@
         text.replace(from, to - 1 - from, value);
     };
     const auto number = [](double value) { return nlohmann::json(value).dump(); };
-    put("classes", each(classes, [&](const Named& c) {
-            return R"({"name":")" + c.name + R"(","effect":")" + c.effect + R"(","objective_ms":)" +
-                   number(c.aim) + R"(,"give_up_ms":)" + number(c.patience) + R"(,"importance":)" +
-                   number(c.worth) + "}";
-        }));
-    put("orgs", each(orgs, [&](const Org& o) {
-            return R"({"name":")" + o.name + R"(","quota_rps":)" + number(o.quota) + R"(,"share":)" +
-                   number(o.share) + "}";
-        }));
-    put("class_floor", each(classes, [](const Named& c) { return std::to_string(c.floor); }));
-    put("class_live", each(classes, [](const Named& c) { return std::string(c.live ? "true" : "false"); }));
-    put("rate_factor", each(classes, [&](const Named& c) { return number(c.part); }));
-    put("top_by_class", each(classes, [](const Named& c) { return std::to_string(c.top); }));
-    put("licence_cap", each(classes, [](const Named& c) { return std::to_string(c.seats); }));
+    replace_list("classes", join(classes, [&](const ClassSpec& c) {
+                     return R"({"name":")" + c.name + R"(","effect":")" + c.effect + R"(","objective_ms":)" +
+                            number(c.startup_target) + R"(,"give_up_ms":)" + number(c.patience) +
+                            R"(,"importance":)" + number(c.importance) + "}";
+                 }));
+    replace_list("orgs", join(orgs, [&](const TenantSpec& o) {
+                     return R"({"name":")" + o.name + R"(","quota_rps":)" + number(o.quota) + R"(,"share":)" +
+                            number(o.share) + "}";
+                 }));
+    replace_list("class_floor", join(classes, [](const ClassSpec& c) { return std::to_string(c.floor); }));
+    replace_list("class_live",
+                 join(classes, [](const ClassSpec& c) { return std::string(c.live ? "true" : "false"); }));
+    replace_list("rate_factor", join(classes, [&](const ClassSpec& c) { return number(c.rate_factor); }));
+    replace_list("top_by_class", join(classes, [](const ClassSpec& c) { return std::to_string(c.top); }));
+    replace_list("licence_cap", join(classes, [](const ClassSpec& c) { return std::to_string(c.seats); }));
     return text;
 }
 
 // Returns everything that a director decides on a random sequence of events, as text. `cls` and `org` are the
 // indices of the classes and tenants in its settings.
-std::string decisions(const config::RelayConfig& config, const std::vector<int>& cls,
-                      const std::vector<int>& org, unsigned seed) {
+std::string record_decisions(const config::RelayConfig& config, const std::vector<int>& cls,
+                             const std::vector<int>& org, unsigned seed) {
     std::string out;
     std::mt19937 random(seed);
     Director director(config.settings, 99);
@@ -114,14 +115,14 @@
         auto it = open.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(random() % open.size()));
         const auto [send, attempt] = it->second;
-        const auto fate = random() % 8;
-        if (fate == 0) {
+        const auto outcome = random() % 8;
+        if (outcome == 0) {
             open.erase(it);
             feed(AttemptEnded{send.id, attempt, send.server, Outcome::full, 5, false, {}});
-        } else if (fate == 1) {
+        } else if (outcome == 1) {
             open.erase(it);
             feed(AttemptEnded{send.id, attempt, send.server, Outcome::reset, 5, false, {}});
-        } else if (fate < 5) {
+        } else if (outcome < 5) {
             open.erase(it);
             feed(SessionEstablished{send.id, attempt, send.server, 40});
             feed(AttemptEnded{send.id, attempt, send.server, Outcome::ended, 900, true, {}});
@@ -131,24 +132,24 @@
 }
 
 TEST(RelaySettings, DecisionsDependOnNeitherNamesNorOrder) {
-    const std::vector<Named> classes = {{"gold one", "side_effect", 1500, 5000, 3, 1, 1, 3, false, 1},
-                                        {"silver", "pure", 800, 4000, 1, 0, 1, 0, true, 1},
-                                        {"tin, or so", "pure", 400, 1200, 0.5, 0, 0, 0, false, 0.7}};
-    const std::vector<Org> orgs = {{"first customer", 20, 0.5}, {"second", 6, 0.3}, {"third", 2, 0.2}};
-    std::vector<Named> other = {classes[2], classes[0], classes[1]};
+    const std::vector<ClassSpec> classes = {{"gold one", "side_effect", 1500, 5000, 3, 1, 1, 3, false, 1},
+                                            {"silver", "pure", 800, 4000, 1, 0, 1, 0, true, 1},
+                                            {"tin, or so", "pure", 400, 1200, 0.5, 0, 0, 0, false, 0.7}};
+    const std::vector<TenantSpec> orgs = {{"first customer", 20, 0.5}, {"second", 6, 0.3}, {"third", 2, 0.2}};
+    std::vector<ClassSpec> other = {classes[2], classes[0], classes[1]};
     other[0].name = "a", other[1].name = "silver", other[2].name = "gold one";  // names are swapped too
-    std::vector<Org> others = {orgs[1], orgs[2], orgs[0]};
+    std::vector<TenantSpec> others = {orgs[1], orgs[2], orgs[0]};
     others[0].name = "first customer", others[1].name = "x y", others[2].name = "second";
     const auto one = config::read_relay_config(settings_text(classes, orgs));
     const auto two = config::read_relay_config(settings_text(other, others));
     ASSERT_EQ(one.settings.classes.size(), 3u);
     ASSERT_EQ(two.settings.classes[1].seats, 3);
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        const std::string a = decisions(one, {0, 1, 2}, {0, 1, 2}, seed);
+        const std::string a = record_decisions(one, {0, 1, 2}, {0, 1, 2}, seed);
         ASSERT_GT(std::count(a.begin(), a.end(), '>'), 50) << "the director decided nothing";
-        EXPECT_EQ(a, decisions(two, {1, 2, 0}, {2, 0, 1}, seed)) << "seed " << seed;
+        EXPECT_EQ(a, record_decisions(two, {1, 2, 0}, {2, 0, 1}, seed)) << "seed " << seed;
         // The order does matter: with the wrong class indices the decisions differ.
-        EXPECT_NE(a, decisions(two, {0, 1, 2}, {2, 0, 1}, seed)) << "seed " << seed;
+        EXPECT_NE(a, record_decisions(two, {0, 1, 2}, {2, 0, 1}, seed)) << "seed " << seed;
     }
 }
 
@@ -180,7 +181,7 @@
     }
     ASSERT_GE(names.size(), 8u);
     int files = 0;
-    const auto look = [&](const fs::path& path) {
+    const auto check_file = [&](const fs::path& path) {
         files += 1;
         const std::string text = read(path);
         for (const std::string& name : names)
@@ -188,8 +189,8 @@
     };
     for (const fs::path& folder : {root / "src", root / "include"})
         for (const auto& one : fs::recursive_directory_iterator(folder))
-            if (one.is_regular_file()) look(one.path());
-    look(root / "deploy/balancer.toml");
+            if (one.is_regular_file()) check_file(one.path());
+    check_file(root / "deploy/balancer.toml");
     EXPECT_GT(files, 50);
 }
 
