--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -56,20 +56,20 @@
 class SrvPoller {
   public:
     struct Events {
-        std::function<void(const Members& all)> on_changed;  // a response with a newer list, which is whole
+        std::function<void(const Members& all)> on_changed;  // a response with a newer list
         std::function<void()> on_confirmed;                  // a fresh response with the list already known
     };
     // `known_serial`: the version of the list that the caller has already.
     SrvPoller(io::Loop& loop, const io::Address& server, const std::string& name, std::uint32_t known_serial,
               Events events);
-    void set_server(const io::Address& server);  // versions must continue at the new server
+    void set_server(const io::Address& server);  // the known serial is kept
     const SrvCounts& counts() const { return counts_; }
     const std::string& last_error() const { return last_error_; }
 
   private:
     void send_query();
     void handle_datagram(const io::Address& from, std::string_view bytes);
-    void handle_response(const SrvResponse& answer, std::string_view bytes, bool fresh);
+    void handle_response(const SrvResponse& response, std::string_view bytes, bool fresh);
     void confirm_list(bool fresh);
 
     io::Loop& loop_;
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -67,7 +67,8 @@
     bool has_carried_setup = false;      // a well-formed set-up has been received on it
     bool has_answered_ping = false;      // a ping has been received and answered on it
     bool closing = false;                // our end has been sent; input is discarded
-    bool rejects_set_ups = false;    // after a repeated session number; closed once nothing is pending on it
+    // Set after a repeated session number; the connection is closed once nothing is pending on it.
+    bool rejects_setups = false;
     bool output_overflowed = false;  // the client does not read; about to be dropped
     struct SentEndNotice {
         io::Time sent_at;
@@ -99,9 +100,9 @@
 
     Request(RelayFront& front, SessionId number, std::string text, Connection* from)
         : owner(front), session(number), id_text(std::move(text)), connection(from) {}
-    void on_established(const core::Placement& where) override {
+    void on_established(const core::Placement& placement) override {
         ViewerMessage message;
-        message.type = Type::answer, message.id = id_text, message.sdp = where.media.description;
+        message.type = Type::answer, message.id = id_text, message.sdp = placement.media.description;
         Connection* client = connection;
         owner.finish_request(session);
         owner.established_[session] = {client, owner.loop_.now()};
@@ -145,7 +146,8 @@
 
 void RelayFront::accept_connection(std::unique_ptr<io::Stream> stream) {
     last_received_ = loop_.now();
-    if (!make_room()) {  // closed without sending anything: the client knows that nothing was accepted
+    if (!make_room()) {
+        // Closed without sending anything: the client knows that nothing was accepted.
         counts_.turned_away += 1;
         return;
     }
@@ -274,7 +276,7 @@
 }
 
 void RelayFront::close_if_done(Connection& connection) {
-    if (!connection.removed && connection.rejects_set_ups && connection.pending_setups.empty())
+    if (!connection.removed && connection.rejects_setups && connection.pending_setups.empty())
         return close_gracefully(connection, CloseReason::repeated_number);
     if (!shutdown_ || drain_check_posted_ || !is_drained(connection)) return;
     // Deferred: this call may come from within a decision of the module, and the check reads more input.
@@ -327,13 +329,13 @@
     if (connection.output_overflowed) return;
     connection.stream->write(relay::write_line(message));
     if (connection.stream->pending() <= limits_.max_unsent_output) return;
-    // Deferred: this call may carry out the module's refusal of one set-up while the sending of another one
+    // Deferred: this call may carry out the module's rejection of one set-up while the sending of another one
     // of the same connection is still to be carried out.
     connection.output_overflowed = true;
     // The connection may be removed and destroyed before, so it is looked up again.
     loop_.post([this, target = &connection] {
-        for (const auto& one : connections_) {
-            if (one.get() != target || !one->output_overflowed) continue;
+        for (const auto& candidate : connections_) {
+            if (candidate.get() != target || !candidate->output_overflowed) continue;
             record_close(*target, CloseReason::unread_output);
             abandon_pending_setups(*target);
             return remove_connection(*target, CloseReason::unread_output);
@@ -453,7 +455,7 @@
 
 void RelayFront::handle_setup(Connection& connection, const ViewerMessage& message) {
     counts_.setups += 1;
-    if (connection.rejects_set_ups) return send_release(connection, message.id, kCauseUnusable);
+    if (connection.rejects_setups) return send_release(connection, message.id, kCauseUnusable);
     if (const auto it = requests_.find(message.session); it != requests_.end()) {
         // Two requests under one session number. On the same connection an answer to one would be taken for
         // both, so neither is served, and no more set-ups are accepted on it: such a client may repeat this
@@ -462,7 +464,7 @@
         counts_.repeated += 1;
         if (it->second->connection == &connection) {
             const std::string first_id_text = it->second->id_text;
-            connection.rejects_set_ups = true;
+            connection.rejects_setups = true;
             engine_.withdraw_request(message.session, it->second.get());
             finish_request(message.session);
             send_release(connection, first_id_text, kCauseUnusable);
--- a/tests/relay/process_test.cpp
+++ b/tests/relay/process_test.cpp
@@ -65,8 +65,8 @@
         queued.push_back(rig.connect_viewer());
         queued.back().send_line(make_setup_line(2 + k, "paid"));
     }
-    const double late = clock_ms() + 800;  // past 0.75 s: all timers are due when it resumes
-    rig.wait_until([&] { return clock_ms() > late; });
+    const double until = clock_ms() + 800;  // past 0.75 s: all timers are due when it resumes
+    rig.wait_until([&] { return clock_ms() > until; });
     rig.resume();
     EXPECT_TRUE(is_refusal(rig.await_line(taken)));
     for (PeerConnection& one : queued) EXPECT_TRUE(is_refusal(rig.await_line(one)));
@@ -218,12 +218,12 @@
     rig.resume();
     EXPECT_EQ(rig.await_frame(node, Type::release).session, 1u);
     viewer.send_line(R"({"type":"ping","id":"00000000000000ff","fields":{},"cause":0})");
-    std::vector<Type> told;
-    while (told.empty() || (told.back() != Type::pong && told.size() < 4))
-        told.push_back(rig.await_line(viewer).type);
-    EXPECT_TRUE(told == std::vector<Type>{Type::pong} ||
-                told == (std::vector<Type>{Type::answer, Type::released, Type::pong}))
-        << told.size();
+    std::vector<Type> received;
+    while (received.empty() || (received.back() != Type::pong && received.size() < 4))
+        received.push_back(rig.await_line(viewer).type);
+    EXPECT_TRUE(received == std::vector<Type>{Type::pong} ||
+                received == (std::vector<Type>{Type::answer, Type::released, Type::pong}))
+        << received.size();
 }
 
 // Half a line and a close, a set-up and a close, a set-up and a reset: no attempt is begun, or it is
@@ -278,8 +278,8 @@
     node.send(Type::release, 1, kCauseFull);  // of a set-up that may be under way: a retry would be due
     rig.resume();
     PeerConnection other = rig.connect_viewer();
-    const double late = clock_ms() + 300;  // longer than 0.1 s
-    rig.wait_until([&] { return clock_ms() > late; });
+    const double until = clock_ms() + 300;  // longer than 0.1 s
+    rig.wait_until([&] { return clock_ms() > until; });
     rig.barrier(other);
     rig.suspend();
     std::size_t setups = 0;
@@ -332,9 +332,9 @@
     EXPECT_EQ(rig.await_frame(node, Type::released).session, 1u);
     PeerConnection next = rig.connect_viewer();
     next.send_line(make_setup_line(2, "free one"));
-    const ViewerMessage told = rig.await_line(next);
-    EXPECT_EQ(told.session, 1u);
-    EXPECT_EQ(told.type, Type::release);
+    const ViewerMessage received = rig.await_line(next);
+    EXPECT_EQ(received.session, 1u);
+    EXPECT_EQ(received.type, Type::release);
 }
 
 // ---- Media nodes ----
@@ -385,8 +385,8 @@
     PeerConnection node = rig.accept_connection();
     EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
     rig.suspend();
-    const double late = clock_ms() + 400;
-    rig.wait_until([&] { return clock_ms() > late; });
+    const double until = clock_ms() + 400;
+    rig.wait_until([&] { return clock_ms() > until; });
     node.send(Type::answer, 1, -1, {{63, "it plays"}});
     rig.resume();
     const ViewerMessage m = rig.await_line(viewer);
@@ -422,8 +422,8 @@
     // With room in the accept queue the system retransmits its SYN, and the connection is established while
     // the process is suspended.
     PeerConnection filled = rig.accept_connection(), node = rig.accept_connection();
-    const double late = clock_ms() + 1000;
-    rig.wait_until([&] { return clock_ms() > late; });
+    const double until = clock_ms() + 1000;
+    rig.wait_until([&] { return clock_ms() > until; });
     rig.resume();
     std::size_t setups = 0;
     std::optional<ViewerMessage> answer;
@@ -463,14 +463,14 @@
     node.send(Type::answer, 2, -1, {{63, "it plays"}});
     node.close();
     rig.resume();
-    std::map<std::uint64_t, std::vector<Type>> told;
+    std::map<std::uint64_t, std::vector<Type>> received;
     EXPECT_TRUE(rig.wait_until([&] {
         for (viewer.receive_available(); const auto m = viewer.next_line();)
-            told[m->session].push_back(m->type);
-        return !told[1].empty() && told[2].size() >= 2;
+            received[m->session].push_back(m->type);
+        return !received[1].empty() && received[2].size() >= 2;
     }));
-    EXPECT_EQ(told[1], (std::vector<Type>{Type::release})) << "ended with its node";
-    EXPECT_EQ(told[2], (std::vector<Type>{Type::answer, Type::release}));
+    EXPECT_EQ(received[1], (std::vector<Type>{Type::release})) << "ended with its node";
+    EXPECT_EQ(received[2], (std::vector<Type>{Type::answer, Type::release}));
     // The next set-up goes to the new node at the same address.
     viewer.send_line(make_setup_line(3, "paid"));
     std::list<PeerConnection> links;
@@ -521,8 +521,8 @@
         if (setup_first) oldest.send_line(make_setup_line(1, "paid"));
         for (int k = 0; k < 8; ++k) others.push_back(rig.connect_viewer());
         if (!setup_first) oldest.send_line(make_setup_line(1, "paid"));
-        const double late = clock_ms() + 100;  // longer than a message that crosses a close may take
-        rig.wait_until([&] { return clock_ms() > late; });
+        const double until = clock_ms() + 100;  // longer than a message that crosses a close may take
+        rig.wait_until([&] { return clock_ms() > until; });
         rig.resume();
         PeerConnection node = rig.accept_connection();
         EXPECT_EQ(rig.await_frame(node, Type::setup).session, 1u);
