--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -641,7 +641,8 @@
     }
 }
 
-// Sessions step up far only on a report: a server in use that seems to have headroom is probed now and then.
+// Without a report sessions step up only where a link is nearly idle, so a server in use that seems to have
+// headroom is probed now and then.
 TEST(Reports, ServersInUseWithHeadroomAreProbedForStepsUp) {
     Settings settings = small_site_settings();
     settings.can_probe = true;
