--- a/src/cli/day_command.cpp
+++ b/src/cli/day_command.cpp
@@ -59,8 +59,8 @@
         return {"127.0.0.1", static_cast<std::uint16_t>(8001 + number)};
     }
     void start(int number, const std::string& config) override {
-        const config::Loaded loaded = config::load(config);
-        if (!loaded.faults.empty()) throw std::runtime_error("a director's configuration has faults");
+        const config::LoadResult loaded = config::load(config);
+        if (!loaded.errors.empty()) throw std::runtime_error("a director's configuration has faults");
         One one;
         one.loop = &world_.start("d" + std::to_string(number));
         const std::uint64_t seed = one.loop->random()();
--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -32,9 +32,9 @@
       nodes_(loop, config.name, config.settings,
              [&] {
                  nodes::LinkLimits limits;
-                 limits.client.max_connections_per_address = config.node_connections;
+                 limits.client.max_connections_per_address = config.max_connections_per_node;
                  limits.connect_timeout = config.settings.connect_timeout;
-                 limits.silent = config.node_silent_ms;
+                 limits.silent = config.node_silence_timeout_ms;
                  return limits;
              }()),
       engine_(loop, config.settings, seed, nodes_, nullptr),
@@ -47,9 +47,9 @@
               s.service = config.service;
               s.user_agent = "ivyfield/" + config.name;
               s.kinds = config.kinds;
-              s.max_wait = config.list_wait_ms;
-              s.allow_stale = config.list_stale;
-              s.max_staleness = config.longest_stale_ms;
+              s.max_wait = config.max_list_wait_ms;
+              s.allow_stale = config.allow_stale_list;
+              s.max_staleness = config.max_staleness_ms;
               return s;
           }(),
           [this](const std::vector<discovery::Instance>& instances) { listed(instances); }) {
@@ -93,7 +93,7 @@
         return it == names_.end() ? std::to_string(id) : it->second;
     };
     const Settings& s = config_.settings;
-    json line = session_line(r, name);
+    json line = make_session_log_line(r, name);
     line["session"] = r.id;
     line["sid"] = r.request.sid;
     line["tenant"] = s.tenants[static_cast<std::size_t>(r.request.tenant)].name;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -17,17 +17,17 @@
 using namespace ivyfield;
 
 int check(const std::string& path) {
-    const config::Loaded loaded = config::load_file(path);
-    for (const config::Fault& f : loaded.faults)
-        std::cerr << path << ": " << (f.path.empty() ? "/" : f.path) << ": " << f.why << "\n";
-    if (!loaded.faults.empty()) return 1;
+    const config::LoadResult loaded = config::load_file(path);
+    for (const config::ConfigError& f : loaded.errors)
+        std::cerr << path << ": " << (f.path.empty() ? "/" : f.path) << ": " << f.message << "\n";
+    if (!loaded.errors.empty()) return 1;
     std::cout << path << ": good\n";
     return 0;
 }
 
 int serve(const std::string& path) {
-    const config::Loaded loaded = config::load_file(path);
-    if (!loaded.faults.empty()) return check(path);
+    const config::LoadResult loaded = config::load_file(path);
+    if (!loaded.errors.empty()) return check(path);
     ::signal(SIGPIPE, SIG_IGN);
     io::raise_file_limit();
     const std::uint64_t seed = loaded.config.seed.value_or(io::system_seed());
@@ -61,7 +61,7 @@
             throw std::runtime_error(std::string("RELAY_LISTEN: ") + e.what());
         }
         path = file;
-        config = config::read_relay_config(config::read_file(path));
+        config = config::parse_relay_config(config::read_file(path));
         config.name = name;
         config.listen = address;
     } catch (const std::exception& e) {
@@ -76,7 +76,7 @@
     std::optional<cli::RelayProcess> director;
     loop.on_signal(SIGHUP, [&] {
         try {
-            director->reload(config::read_relay_config(config::read_file(path)));
+            director->reload(config::parse_relay_config(config::read_file(path)));
         } catch (const std::exception& e) {
             director->log_event(log::Level::error, "not reloaded", {{"why", path + ": " + e.what()}});
         }
@@ -92,8 +92,8 @@
 int play(const std::string& path, std::optional<std::uint64_t> seed, bool simulated,
          const cli::DayOptions& options) {
     const day::LoadedDay loaded = day::load_day(config::read_file(path));
-    for (const config::Fault& f : loaded.faults)
-        std::cerr << path << ": " << (f.path.empty() ? "/" : f.path) << ": " << f.why << "\n";
+    for (const config::ConfigError& f : loaded.faults)
+        std::cerr << path << ": " << (f.path.empty() ? "/" : f.path) << ": " << f.message << "\n";
     if (!loaded.faults.empty()) return 2;
     ::signal(SIGPIPE, SIG_IGN);
     const std::uint64_t with = seed.value_or(loaded.day.seed);
--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -36,9 +36,9 @@
              [&] {
                  nodes::RelayLimits limits;
                  limits.connect_timeout = config.settings.connect_timeout;
-                 limits.idle_close = config.idle_close;
+                 limits.idle_close = config.idle_connection_timeout;
                  limits.connections = config.sockets / 2;
-                 limits.report = config.report;
+                 limits.report = config.report_fields;
                  return limits;
              }()),
       engine_(loop, config.settings, config.seed, nodes_, nullptr),
@@ -52,7 +52,7 @@
           engine_),
       unix_to_loop_offset_(loop.now() - loop.wall_ms()),
       srv_poller_(
-          loop, config.dns, kServiceName, config.known,
+          loop, config.dns, kServiceName, config.last_event,
           {[this](const discovery::Members& members) { update_list(members); }, [this] { confirm_list(); }}),
       members_(config.members) {
     nodes_.attach(&engine_);
@@ -224,7 +224,7 @@
 }
 
 void RelayProcess::log_session(const core::SessionRecord& record) {
-    json line = session_line(record, [this](ServerId id) {
+    json line = make_session_log_line(record, [this](ServerId id) {
         const auto it = node_names_.find(id);
         return it == node_names_.end() ? relay::hex(id) : it->second;
     });
--- a/src/cli/session_line.cpp
+++ b/src/cli/session_line.cpp
@@ -6,7 +6,8 @@
 
 using nlohmann::json;
 
-json session_line(const core::SessionRecord& r, const std::function<std::string(ServerId)>& node_name) {
+json make_session_log_line(const core::SessionRecord& r,
+                           const std::function<std::string(ServerId)>& node_name) {
     const auto rounded = [](double ms) { return std::round(ms * 10) / 10; };
     json tries = json::array();
     for (const core::AttemptRecord& one : r.attempt_records)
--- a/src/cli/session_line.hpp
+++ b/src/cli/session_line.hpp
@@ -8,7 +8,7 @@
 
 namespace ivyfield::cli {
 
-nlohmann::json session_line(const core::SessionRecord& record,
-                            const std::function<std::string(ServerId)>& node_name);
+nlohmann::json make_session_log_line(const core::SessionRecord& record,
+                                     const std::function<std::string(ServerId)>& node_name);
 
 }  // namespace ivyfield::cli
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -25,7 +25,7 @@
     return out.str();
 }
 
-std::vector<Fault> check_schema(const std::string& schema, const json& document) {
+std::vector<ConfigError> check_schema(const std::string& schema, const json& document) {
     valijson::Schema parsed;
     valijson::SchemaParser parser;
     const json schema_json = json::parse(schema);
@@ -34,8 +34,8 @@
     valijson::Validator validator(valijson::Validator::kStrongTypes);
     valijson::ValidationResults results;
     const valijson::adapters::NlohmannJsonAdapter target(document);
-    std::vector<Fault> faults;
-    if (validator.validate(parsed, target, &results)) return faults;
+    std::vector<ConfigError> errors;
+    if (validator.validate(parsed, target, &results)) return errors;
     valijson::ValidationResults::Error error;
     while (results.popError(error)) {
         std::string path;
@@ -49,16 +49,16 @@
         const std::string unknown = "Object contains a property that could not be validated";
         if (why.compare(0, unknown.size(), unknown) == 0 && why.find(": ") != std::string::npos)
             why = "unknown field " + why.substr(why.rfind(": ") + 2);
-        faults.push_back({path, why});
+        errors.push_back({path, why});
     }
     // "Failed to validate against child schema" of a parent says nothing that its child has not said better.
-    std::vector<Fault> told;
-    for (const Fault& f : faults) {
+    std::vector<ConfigError> told;
+    for (const ConfigError& f : errors) {
         bool deeper = false;
-        for (const Fault& g : faults)
+        for (const ConfigError& g : errors)
             deeper =
                 deeper || (g.path.size() > f.path.size() && g.path.compare(0, f.path.size(), f.path) == 0);
-        if (!(deeper && f.why.find("Failed to validate against schema") != std::string::npos))
+        if (!(deeper && f.message.find("Failed to validate against schema") != std::string::npos))
             told.push_back(f);
     }
     return told;
@@ -68,25 +68,25 @@
 
 class Reader {
   public:
-    Reader(const json& at, std::string path, std::vector<Fault>& faults)
-        : at_(at), path_(std::move(path)), faults_(faults) {}
+    Reader(const json& at, std::string path, std::vector<ConfigError>& errors)
+        : at_(at), path_(std::move(path)), errors_(errors) {}
     template <typename T>
     void get(const char* key, T& into) const {
         if (at_.contains(key)) into = at_.at(key).get<T>();
     }
     Reader child(const char* key) const {
         static const json empty = json::object();
-        return {at_.contains(key) ? at_.at(key) : empty, path_ + "/" + key, faults_};
+        return {at_.contains(key) ? at_.at(key) : empty, path_ + "/" + key, errors_};
     }
     void address(const char* key, io::Address& into) const {
         try {
             into = io::Address::parse(at_.at(key).get<std::string>());
         } catch (const std::invalid_argument& e) {
-            fault(std::string("/") + key, e.what());
+            report_error(std::string("/") + key, e.what());
         }
     }
-    void fault(const std::string& below, const std::string& why) const {
-        faults_.push_back({path_ + below, why});
+    void report_error(const std::string& below, const std::string& why) const {
+        errors_.push_back({path_ + below, why});
     }
     bool has(const char* key) const { return at_.contains(key); }
     const json& raw() const { return at_; }
@@ -94,7 +94,7 @@
   private:
     const json& at_;
     std::string path_;
-    std::vector<Fault>& faults_;
+    std::vector<ConfigError>& errors_;
 };
 
 void read_fleet(const Reader& f, Config& c) {
@@ -127,14 +127,14 @@
     f.get("probe_price", s.probe_price);
     f.get("cross_zone_price", s.cross_zone_price);
     if (s.rung_kb.size() != s.rung_worth.size())
-        f.fault("/rung_worth", "has " + std::to_string(s.rung_worth.size()) + " rungs, rung_kb has " +
-                                   std::to_string(s.rung_kb.size()));
+        f.report_error("/rung_worth", "has " + std::to_string(s.rung_worth.size()) + " rungs, rung_kb has " +
+                                          std::to_string(s.rung_kb.size()));
     for (std::size_t k = 1; k < s.rung_kb.size(); ++k)
         if (s.rung_kb[k] <= s.rung_kb[k - 1])
-            f.fault("/rung_kb/" + std::to_string(k), "a ladder rises: not above the rung before it");
+            f.report_error("/rung_kb/" + std::to_string(k), "a ladder rises: not above the rung before it");
     if (s.self_index >= s.directors)
-        f.fault("/self", "not below directors, which is " + std::to_string(s.directors));
-    if (s.cells > 0 && c.copies > s.cells) f.fault("/copies", "more copies than cells");
+        f.report_error("/self", "not below directors, which is " + std::to_string(s.directors));
+    if (s.cells > 0 && c.copies > s.cells) f.report_error("/copies", "more copies than cells");
 }
 
 void read_rules(const Reader& r, Config& c) {
@@ -167,11 +167,11 @@
     }
 }
 
-void read_classes(const json& doc, Config& c, std::vector<Fault>& faults) {
+void read_classes(const json& doc, Config& c, std::vector<ConfigError>& errors) {
     const int rungs = static_cast<int>(c.settings.rung_kb.size());
     int k = 0;
     for (const json& one : doc.at("classes")) {
-        const Reader r(one, "/classes/" + std::to_string(k++), faults);
+        const Reader r(one, "/classes/" + std::to_string(k++), errors);
         ClassSettings cls;
         r.get("name", cls.name);
         r.get("worth", cls.worth);
@@ -186,47 +186,47 @@
         r.get("seats", cls.seats);
         r.get("live", cls.live);
         if (cls.max_rung >= rungs)
-            r.fault("/top", "the ladder's highest rung is " + std::to_string(rungs - 1));
-        if (cls.min_rung > cls.max_rung) r.fault("/floor", "above the class's top");
+            r.report_error("/top", "the ladder's highest rung is " + std::to_string(rungs - 1));
+        if (cls.min_rung > cls.max_rung) r.report_error("/floor", "above the class's top");
         if (cls.startup_target > cls.patience)
-            r.fault("/aim_ms", "later than patience_ms: the viewer would be gone");
+            r.report_error("/aim_ms", "later than patience_ms: the viewer would be gone");
         for (const ClassSettings& other : c.settings.classes)
-            if (other.name == cls.name) r.fault("/name", "another class has this name");
+            if (other.name == cls.name) r.report_error("/name", "another class has this name");
         c.settings.classes.push_back(cls);
     }
 }
-void read_tenants(const json& doc, Config& c, std::vector<Fault>& faults) {
+void read_tenants(const json& doc, Config& c, std::vector<ConfigError>& errors) {
     int k = 0;
     double shares = 0;
     for (const json& one : doc.at("tenants")) {
-        const Reader r(one, "/tenants/" + std::to_string(k++), faults);
+        const Reader r(one, "/tenants/" + std::to_string(k++), errors);
         TenantSettings t;
         r.get("name", t.name);
         r.get("quota_per_s", t.quota_per_s);
         r.get("share", t.share);
         shares += t.share;
         for (const TenantSettings& other : c.settings.tenants)
-            if (other.name == t.name) r.fault("/name", "another tenant has this name");
+            if (other.name == t.name) r.report_error("/name", "another tenant has this name");
         c.settings.tenants.push_back(t);
     }
-    if (shares > 1 + 1e-9) faults.push_back({"/tenants", "the shares add up to more than 1"});
+    if (shares > 1 + 1e-9) errors.push_back({"/tenants", "the shares add up to more than 1"});
 }
 
 }  // namespace
 
-Loaded load(const std::string& text) {
-    Loaded out;
+LoadResult load(const std::string& text) {
+    LoadResult out;
     json doc;
     try {
         doc = json::parse(text);
     } catch (const json::parse_error& e) {
-        out.faults.push_back({"", e.what()});
+        out.errors.push_back({"", e.what()});
         return out;
     }
-    out.faults = check_schema(kSchemaText, doc);
-    if (!out.faults.empty()) return out;
+    out.errors = check_schema(kSchemaText, doc);
+    if (!out.errors.empty()) return out;
     Config& c = out.config;
-    const Reader r(doc, "", out.faults);
+    const Reader r(doc, "", out.errors);
     r.get("name", c.name);
     r.address("listen", c.listen);
     if (r.has("seed")) c.seed = doc.at("seed").get<std::uint64_t>();
@@ -235,28 +235,28 @@
     const Reader list = r.child("list");
     list.address("consul", c.consul);
     list.get("service", c.service);
-    list.get("wait_ms", c.list_wait_ms);
-    list.get("stale", c.list_stale);
-    list.get("longest_stale_ms", c.longest_stale_ms);
-    r.child("nodes").get("connections", c.node_connections);
-    r.child("nodes").get("silent_ms", c.node_silent_ms);
-    r.child("players").get("connections", c.player_connections);
-    r.child("players").get("idle_ms", c.player_idle_ms);
+    list.get("wait_ms", c.max_list_wait_ms);
+    list.get("stale", c.allow_stale_list);
+    list.get("longest_stale_ms", c.max_staleness_ms);
+    r.child("nodes").get("connections", c.max_connections_per_node);
+    r.child("nodes").get("silent_ms", c.node_silence_timeout_ms);
+    r.child("players").get("connections", c.max_player_connections);
+    r.child("players").get("idle_ms", c.player_idle_timeout_ms);
     read_fleet(r.child("fleet"), c);
     read_rules(r.child("rules"), c);
-    read_classes(doc, c, out.faults);
-    read_tenants(doc, c, out.faults);
+    read_classes(doc, c, out.errors);
+    read_tenants(doc, c, out.errors);
     // What nodes report when probed, in the order of docs/node-protocol.md.
     c.settings.report_fields = {ReportField::streams, ReportField::link, ReportField::uplink};
     return out;
 }
 
-Loaded load_file(const std::string& path) {
+LoadResult load_file(const std::string& path) {
     try {
         return load(read_file(path));
     } catch (const std::runtime_error& e) {
-        Loaded out;
-        out.faults.push_back({"", e.what()});
+        LoadResult out;
+        out.errors.push_back({"", e.what()});
         return out;
     }
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -12,9 +12,9 @@
 
 namespace ivyfield::config {
 
-struct Fault {
+struct ConfigError {
     std::string path;  // JSON pointer, like /classes/0/aim_ms; empty: the whole file
-    std::string why;
+    std::string message;
 };
 
 struct Config {
@@ -24,10 +24,10 @@
     std::string log_path = "-", log_level = "info";
     io::Address consul;
     std::string service;
-    double list_wait_ms = 30000, longest_stale_ms = 60000;
-    bool list_stale = true;
-    std::size_t node_connections = 64, player_connections = 20000;
-    double node_silent_ms = 3000, player_idle_ms = 60000;
+    double max_list_wait_ms = 30000, max_staleness_ms = 60000;
+    bool allow_stale_list = true;
+    std::size_t max_connections_per_node = 64, max_player_connections = 20000;
+    double node_silence_timeout_ms = 3000, player_idle_timeout_ms = 60000;
     std::vector<std::string> kinds;  // names, by number
     int copies = 0;
     Settings settings;
@@ -36,15 +36,15 @@
 const char* schema_text();
 
 // Faults of a parsed document against a schema; empty when it fits.
-std::vector<Fault> check_schema(const std::string& schema, const nlohmann::json& document);
+std::vector<ConfigError> check_schema(const std::string& schema, const nlohmann::json& document);
 
-struct Loaded {
+struct LoadResult {
     Config config;
-    std::vector<Fault> faults;  // not empty: config is of no use
+    std::vector<ConfigError> errors;  // not empty: config is of no use
 };
-Loaded load(const std::string& text);
+LoadResult load(const std::string& text);
 // Reads the file; a file that can't be read is a fault too.
-Loaded load_file(const std::string& path);
+LoadResult load_file(const std::string& path);
 std::string read_file(const std::string& path);  // throws std::runtime_error
 
 }  // namespace ivyfield::config
--- a/src/config/relay.cpp
+++ b/src/config/relay.cpp
@@ -113,7 +113,7 @@
     return out;
 }
 
-RelayConfig read_relay_config(const std::string& whole) {
+RelayConfig parse_relay_config(const std::string& whole) {
     json doc;
     try {
         doc = json::parse(whole);
@@ -133,7 +133,7 @@
     c.memory_mb = static_cast<std::size_t>(number(limits, "memory_mb", "/limits", 1, 1e9));
     c.sockets = static_cast<std::size_t>(number(limits, "sockets", "/limits", 16, 1e9));
     const json& known = part(doc, "known", "");
-    c.known = static_cast<std::uint32_t>(number(known, "n", "/known", 0, 4294967295.0));
+    c.last_event = static_cast<std::uint32_t>(number(known, "n", "/known", 0, 4294967295.0));
     const json& events = part(known, "events", "/known");
     if (!events.is_array()) fail("/known/events", "not a list");
     for (std::size_t k = 0; k < events.size(); ++k)
@@ -151,12 +151,13 @@
     c.zones = names(settings, "zones");
     c.kinds = names(settings, "flavors");
     if (const auto it = settings.find("telemetry"); it != settings.end() && it->is_object())
-        c.report = names(*it, "names");
+        c.report_fields = names(*it, "names");
     if (c.classes.empty()) fail("/settings/classes", "no class");
-    if (c.report.size() != c.settings.report_fields.size()) fail("/settings/telemetry/names", "not a list");
-    c.idle_close = 0;
+    if (c.report_fields.size() != c.settings.report_fields.size())
+        fail("/settings/telemetry/names", "not a list");
+    c.idle_connection_timeout = 0;
     if (const auto it = settings.find("limits"); it != settings.end() && it->contains("idle_close_ms"))
-        c.idle_close = number(*it, "idle_close_ms", "/settings/limits", 0, 1e9);
+        c.idle_connection_timeout = number(*it, "idle_close_ms", "/settings/limits", 0, 1e9);
     return c;
 }
 
--- a/src/config/relay.hpp
+++ b/src/config/relay.hpp
@@ -19,15 +19,15 @@
     std::uint64_t seed = 0;
     double cores = 0;
     std::size_t memory_mb = 0, sockets = 0;
-    std::uint32_t known = 0;  // number of the last event in `members`
+    std::uint32_t last_event = 0;  // number of the last event in `members`
     discovery::Members members;
     Settings settings;
     // Names by number, as they stand in the file.
-    std::vector<std::string> classes, tenants, zones, kinds, report;
-    io::Time idle_close = 0;  // idle connections to nodes are closed after this
+    std::vector<std::string> classes, tenants, zones, kinds, report_fields;
+    io::Time idle_connection_timeout = 0;  // idle connections to nodes are closed after this
 };
 
-RelayConfig read_relay_config(const std::string& text);
+RelayConfig parse_relay_config(const std::string& text);
 
 // Nested JSON as path=value lines: plain lists joined with commas, lists of objects as .count, .0, .1 ...
 std::string flatten(const nlohmann::json& settings);
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -59,7 +59,7 @@
     whole["list"] = {{"consul", "127.0.0.1:1"}, {"service", "media"}};
     if (whole.contains("fleet") && whole["fleet"].is_object()) whole["fleet"]["directors"] = d.directors;
     const auto loaded = config::load(whole.dump());
-    for (const config::Fault& f : loaded.faults) fault("/director" + f.path, f.why);
+    for (const config::ConfigError& f : loaded.errors) fault("/director" + f.path, f.message);
     if (!out.faults.empty()) return out;
     for (std::size_t k = 0; k < d.nodes.size(); ++k)
         if (std::find(loaded.config.kinds.begin(), loaded.config.kinds.end(), d.nodes[k].kind) ==
--- a/src/day/day.hpp
+++ b/src/day/day.hpp
@@ -55,7 +55,7 @@
 const char* day_schema_text();
 struct LoadedDay {
     DayFile day;
-    std::vector<config::Fault> faults;
+    std::vector<config::ConfigError> faults;
 };
 LoadedDay load_day(const std::string& text);
 
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -146,8 +146,8 @@
           loop, config.listen,
           [&] {
               http::ServerLimits limits;
-              limits.max_connections = config.player_connections;
-              limits.idle_timeout = config.player_idle_ms;
+              limits.max_connections = config.max_player_connections;
+              limits.idle_timeout = config.player_idle_timeout_ms;
               limits.parse.max_body_bytes = 64 * 1024;
               return limits;
           }(),
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -11,7 +11,7 @@
 json example() { return json::parse(config::read_file(IVYFIELD_SOURCE_DIR "/examples/director.json")); }
 std::vector<std::string> paths(const json& doc) {
     std::vector<std::string> out;
-    for (const auto& f : config::load(doc.dump()).faults) out.push_back(f.path);
+    for (const auto& f : config::load(doc.dump()).errors) out.push_back(f.path);
     return out;
 }
 bool has(const std::vector<std::string>& all, const std::string& one) {
@@ -20,7 +20,7 @@
 
 TEST(Config, TheExampleIsGood) {
     const auto loaded = config::load(example().dump());
-    for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << ": " << f.why;
+    for (const auto& f : loaded.errors) ADD_FAILURE() << f.path << ": " << f.message;
     EXPECT_EQ(loaded.config.settings.classes.at(0).idempotency, Idempotency::non_idempotent);
     EXPECT_EQ(loaded.config.settings.max_streams_by_kind, (std::vector<double>{25, 50}));
 }
@@ -54,14 +54,14 @@
 TEST(Config, AnUnknownFieldIsNamed) {
     json doc = example();
     doc["fleet"]["rungs"] = 5;
-    const auto faults = config::load(doc.dump()).faults;
-    ASSERT_EQ(faults.size(), 1u);
-    EXPECT_EQ(faults[0].path, "/fleet");
-    EXPECT_EQ(faults[0].why, "unknown field 'rungs'.");
+    const auto errors = config::load(doc.dump()).errors;
+    ASSERT_EQ(errors.size(), 1u);
+    EXPECT_EQ(errors[0].path, "/fleet");
+    EXPECT_EQ(errors[0].message, "unknown field 'rungs'.");
 }
 TEST(Config, NotJsonIsOneFault) {
-    EXPECT_EQ(config::load("{\"name\": ").faults.size(), 1u);
-    EXPECT_EQ(config::load_file("/nowhere/at/all").faults.size(), 1u);
+    EXPECT_EQ(config::load("{\"name\": ").errors.size(), 1u);
+    EXPECT_EQ(config::load_file("/nowhere/at/all").errors.size(), 1u);
 }
 
 }  // namespace
--- a/tests/day/day_test.cpp
+++ b/tests/day/day_test.cpp
@@ -12,7 +12,7 @@
 }
 day::DayFile loaded(const nlohmann::json& doc) {
     const auto d = day::load_day(doc.dump());
-    for (const auto& f : d.faults) ADD_FAILURE() << f.path << ": " << f.why;
+    for (const auto& f : d.faults) ADD_FAILURE() << f.path << ": " << f.message;
     return d.day;
 }
 void expect_good(const day::Report& r) { EXPECT_TRUE(r.good()) << r.table(); }
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -200,7 +200,7 @@
     }
     if (slip == Slip::over_seats || slip == Slip::none) doc["arrivals"][0]["per_s"] = 4;
     const auto loaded = day::load_day(doc.dump());
-    for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << ": " << f.why;
+    for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << ": " << f.message;
     io::World world(5);
     RogueHost host(world, slip);
     day::Report report;
--- a/tests/fronts/front_test.cpp
+++ b/tests/fronts/front_test.cpp
@@ -37,8 +37,8 @@
         list = std::make_unique<standins::List>(peer_loop, io::Address{"127.0.0.1", 8500}, "media",
                                                 standins::TapSink{});
         for (int k = 0; k < 2; ++k) add_node(k);
-        config::Loaded loaded = config::load(make_config());
-        for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << f.why;
+        config::LoadResult loaded = config::load(make_config());
+        for (const auto& f : loaded.errors) ADD_FAILURE() << f.path << f.message;
         director = std::make_unique<cli::DirectorProcess>(director_loop, loaded.config, 3);
         run_for(500);
     }
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -533,7 +533,7 @@
     const io::Address other{"127.0.0.1", 5301};
     NameServer second(rig.names_loop, other, 4, {rig.listed[0]});
     rig.name_server->socket.reset();
-    rig.director->reload(config::read_relay_config(make_director_config(rig.listed, other.text())));
+    rig.director->reload(config::parse_relay_config(make_director_config(rig.listed, other.text())));
     rig.run_for(600);
     EXPECT_GT(second.query_count, 0);
     EXPECT_EQ(rig.director->status()["list"]["taken"].get<int>(), 1);
@@ -1091,7 +1091,7 @@
         return std::string(std::istreambuf_iterator<char>(in), {});
     };
     io::World world(3);
-    cli::RelayProcess director(world.start("director"), config::read_relay_config(read("relay.json")), "");
+    cli::RelayProcess director(world.start("director"), config::parse_relay_config(read("relay.json")), "");
     Viewer v(world.start("viewer"), {"127.0.0.1", 5060});
     v.stream->write(read("relay-viewer.jsonl"));
     world.run_until(1000);
@@ -1104,19 +1104,19 @@
 
 TEST(RelayConfig, ErrorsNameTheirPlace) {
     const std::string good = make_director_config({{"s-0", {"127.0.0.1", 9001}}}, "127.0.0.1:5300");
-    const config::RelayConfig c = config::read_relay_config(good);
+    const config::RelayConfig c = config::parse_relay_config(good);
     EXPECT_EQ(c.classes[1], "free one");
     EXPECT_EQ(c.settings.classes[1].name, "free_one");
     EXPECT_EQ(c.settings.classes[0].patience, 5000);
     EXPECT_EQ(c.settings.rung_kb, (std::vector<double>{100, 200}));
     EXPECT_EQ(c.settings.tenants.size(), 1u);
-    EXPECT_EQ(c.known, 3u);
+    EXPECT_EQ(c.last_event, 3u);
     EXPECT_EQ(c.members.at("s-0").weight, 4);
     const auto fault = [&](const std::string& from, const std::string& to) {
         std::string text = good;
         text.replace(text.find(from), from.size(), to);
         try {
-            config::read_relay_config(text);
+            config::parse_relay_config(text);
         } catch (const std::runtime_error& e) {
             return std::string(e.what());
         }
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -246,7 +246,7 @@
         name_server = std::make_unique<NameServer>(names_loop, dns_address, 3, listed);
         director = std::make_unique<cli::RelayProcess>(
             loop,
-            config::read_relay_config(make_director_config(listed, dns_address.text(), sockets, cold_ms)),
+            config::parse_relay_config(make_director_config(listed, dns_address.text(), sockets, cold_ms)),
             "");
     }
     ~Rig() {
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -140,8 +140,8 @@
     other[0].name = "a", other[1].name = "silver", other[2].name = "gold one";  // names are swapped too
     std::vector<TenantSpec> others = {orgs[1], orgs[2], orgs[0]};
     others[0].name = "first customer", others[1].name = "x y", others[2].name = "second";
-    const auto one = config::read_relay_config(settings_text(classes, orgs));
-    const auto two = config::read_relay_config(settings_text(other, others));
+    const auto one = config::parse_relay_config(settings_text(classes, orgs));
+    const auto two = config::parse_relay_config(settings_text(other, others));
     ASSERT_EQ(one.settings.classes.size(), 3u);
     ASSERT_EQ(two.settings.classes[1].seats, 3);
     for (unsigned seed = 1; seed <= 20; ++seed) {
