--- a/src/cli/day_command.cpp
+++ b/src/cli/day_command.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-// Directors as child processes of this program.
+// Runs each director as a child process of this program (`ivyfield serve`).
 class ProcessHost : public day::DirectorHost {
   public:
-    ProcessHost(io::EvLoop& loop, std::string logs) : loop_(loop), logs_(std::move(logs)) {
-        folder_ = io::create_temporary_folder();
+    ProcessHost(io::EvLoop& loop, std::string log_folder) : loop_(loop), log_folder_(std::move(log_folder)) {
+        temporary_folder_ = io::create_temporary_folder();
     }
     ~ProcessHost() override {
         children_.clear();
-        io::remove_folder(folder_);
+        io::remove_folder(temporary_folder_);
     }
     io::Address reserve(int) override {
         return loop_.listen({"127.0.0.1", 0}, [](auto) {})->address();
@@ -30,12 +30,13 @@
     void start(int number, const std::string& config) override {
         const std::string name = "d" + std::to_string(number);
         auto doc = nlohmann::json::parse(config);
-        if (!logs_.empty()) doc["log"] = {{"path", logs_ + "/" + name + ".log"}};
-        const std::string path = folder_ + "/" + name + ".json";
+        if (!log_folder_.empty()) doc["log"] = {{"path", log_folder_ + "/" + name + ".log"}};
+        const std::string path = temporary_folder_ + "/" + name + ".json";
         io::write_file(path, doc.dump(2));
         children_[number] = std::make_unique<io::Child>(
             std::vector<std::string>{io::executable_path(), "serve", "--config", path},
-            logs_.empty() ? folder_ + "/" + name + ".out" : logs_ + "/" + name + ".out");
+            log_folder_.empty() ? temporary_folder_ + "/" + name + ".out"
+                                : log_folder_ + "/" + name + ".out");
     }
     void kill(int number) override { children_.at(number)->kill(); }
     void stall(int number, bool on) override { children_.at(number)->stall(on); }
@@ -44,101 +45,102 @@
 
   private:
     io::EvLoop& loop_;
-    std::string logs_, folder_;
+    std::string log_folder_, temporary_folder_;
     std::map<int, std::unique_ptr<io::Child>> children_;
 };
 
-// Directors as processes of a virtual world.
-class WorldHost : public day::DirectorHost {
+// Runs the directors in this process, on loops of a simulated network.
+class SimulatedHost : public day::DirectorHost {
   public:
-    explicit WorldHost(io::World& world) : world_(world) {}
-    ~WorldHost() override {
-        for (auto& [number, one] : running_) stop(one);
+    explicit SimulatedHost(io::World& world) : world_(world) {}
+    ~SimulatedHost() override {
+        for (auto& [number, director] : directors_) stop(director);
     }
     io::Address reserve(int number) override {
         return {"127.0.0.1", static_cast<std::uint16_t>(8001 + number)};
     }
     void start(int number, const std::string& config) override {
         const config::LoadResult loaded = config::load(config);
-        if (!loaded.errors.empty()) throw std::runtime_error("a director's configuration has faults");
-        One one;
-        one.loop = &world_.start("d" + std::to_string(number));
-        const std::uint64_t seed = one.loop->random()();
-        one.director = std::make_unique<DirectorProcess>(*one.loop, loaded.config, seed);
-        running_[number] = std::move(one);
+        if (!loaded.errors.empty()) throw std::runtime_error("the configuration of a director has errors");
+        SimulatedDirector simulated;
+        simulated.loop = &world_.start("d" + std::to_string(number));
+        const std::uint64_t seed = simulated.loop->random()();
+        simulated.director = std::make_unique<DirectorProcess>(*simulated.loop, loaded.config, seed);
+        directors_[number] = std::move(simulated);
     }
     void kill(int number) override {
-        stop(running_.at(number));
-        running_.erase(number);
+        stop(directors_.at(number));
+        directors_.erase(number);
     }
-    void stall(int number, bool on) override { world_.stall(*running_.at(number).loop, on); }
-    bool running(int number) override { return running_.count(number) != 0; }
+    void stall(int number, bool on) override { world_.stall(*directors_.at(number).loop, on); }
+    bool running(int number) override { return directors_.count(number) != 0; }
     io::Time slack() const override { return 5; }
 
   private:
-    struct One {
+    struct SimulatedDirector {
         io::VirtualLoop* loop = nullptr;
         std::unique_ptr<DirectorProcess> director;
     };
-    void stop(One& one) {
-        world_.kill(*one.loop);
-        one.director.reset();
+    void stop(SimulatedDirector& simulated) {
+        world_.kill(*simulated.loop);
+        simulated.director.reset();
     }
     io::World& world_;
-    std::map<int, One> running_;
+    std::map<int, SimulatedDirector> directors_;
 };
 
-void write_out(const day::Report& report, const std::vector<standins::Tap>& taps, const DayOptions& options) {
-    if (!options.report.empty()) io::write_file(options.report, report.json().dump(2) + "\n");
-    if (options.taps.empty()) return;
+void write_outputs(const day::Report& report, const std::vector<standins::Tap>& taps,
+                   const DayOptions& options) {
+    if (!options.report_path.empty()) io::write_file(options.report_path, report.json().dump(2) + "\n");
+    if (options.tap_path.empty()) return;
     std::string lines;
-    for (const standins::Tap& t : taps)
-        lines += nlohmann::ordered_json{{"at", t.at},           {"what", t.what},
-                                        {"where", t.where},     {"director", t.director},
-                                        {"session", t.session}, {"attempt", t.attempt},
-                                        {"sid", t.sid},         {"class", t.cls},
-                                        {"title", t.title},     {"rung", t.rung},
-                                        {"status", t.status},   {"answer", t.answer},
-                                        {"text", t.text}}
+    for (const standins::Tap& tap : taps)
+        lines += nlohmann::ordered_json{{"at", tap.at},           {"what", tap.what},
+                                        {"where", tap.where},     {"director", tap.director},
+                                        {"session", tap.session}, {"attempt", tap.attempt},
+                                        {"sid", tap.sid},         {"class", tap.cls},
+                                        {"title", tap.title},     {"rung", tap.rung},
+                                        {"status", tap.status},   {"answer", tap.answer},
+                                        {"text", tap.text}}
                      .dump() +
                  "\n";
-    io::write_file(options.taps, lines);
+    io::write_file(options.tap_path, lines);
 }
 
 }  // namespace
 
 day::Report play_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options) {
     io::EvLoop loop(seed);
-    ProcessHost host(loop, options.logs);
+    ProcessHost host(loop, options.log_folder);
     day::Report result;
-    bool over = false;
+    bool finished = false;
     day::Day day(loop, file, seed, host, 1500, [&](const day::Report& report) {
         result = report;
-        over = true;
+        finished = true;
         loop.stop();
     });
-    // A day that is broken off takes its directors along.
+    // On a signal the loop ends and `host` goes out of scope, which ends the child processes too.
     for (const int number : {SIGINT, SIGTERM}) loop.on_signal(number, [&] { loop.stop(); });
     loop.run();
-    if (!over) throw std::runtime_error("the day was broken off");
-    write_out(result, day.taps(), options);
+    if (!finished) throw std::runtime_error("the day was interrupted by a signal");
+    write_outputs(result, day.taps(), options);
     return result;
 }
 
 day::Report play_virtual_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options) {
     io::World world(seed);
-    io::VirtualLoop& rig = world.start("rig");
-    WorldHost host(world);
+    io::VirtualLoop& day_loop = world.start("rig");
+    SimulatedHost host(world);
     day::Report result;
-    bool over = false;
-    day::Day day(rig, file, seed, host, 1500, [&](const day::Report& report) {
+    bool finished = false;
+    day::Day day(day_loop, file, seed, host, 1500, [&](const day::Report& report) {
         result = report;
-        over = true;
+        finished = true;
     });
-    while (!over && world.step()) {
+    while (!finished && world.step()) {
     }
-    if (!over) throw std::runtime_error("the day stands still before its end");
-    write_out(result, day.taps(), options);
+    if (!finished) throw std::runtime_error("the day has not ended, but no event is left in the simulation");
+    write_outputs(result, day.taps(), options);
     return result;
 }
 
--- a/src/cli/day_command.hpp
+++ b/src/cli/day_command.hpp
@@ -1,5 +1,5 @@
-// `ivyfield day`: a day file played on loopback with directors in processes of their own; and the same in a
-// virtual world, for tests and for days that should take no time.
+// `ivyfield day`: plays a day file, either on loopback with each director in its own process, or on simulated
+// time and network, for tests and for runs that should take little time.
 #pragma once
 
 #include <string>
@@ -8,14 +8,18 @@
 
 namespace ivyfield::cli {
 
+// Where a run writes its outputs. An empty path: not written.
 struct DayOptions {
-    std::string report;  // a file for the report as JSON
-    std::string logs;    // a folder for the directors' logs; empty: none
-    std::string taps;    // a file for what crossed the sockets, as JSON lines
+    std::string report_path;  // file for the report as JSON
+    std::string log_folder;   // existing folder for the logs of the directors
+    std::string tap_path;     // file for the recorded traffic, as JSON lines
 };
-// On sockets and wall time. Throws std::runtime_error.
+
+// Plays a day on real sockets and wall time. Throws std::runtime_error if it is interrupted by a signal or an
+// output can't be written.
 day::Report play_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options);
-// On simulated time, every director in this process. The same seed gives the same day.
+// Plays a day on simulated time, with all directors in this process. The same seed gives the same run. Throws
+// std::runtime_error if no event is left before the day's end or an output can't be written.
 day::Report play_virtual_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options);
 
 }  // namespace ivyfield::cli
--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// After SIGTERM new connections are taken for so long: what watches the director needs a moment to see it
-// leave.
-constexpr io::Time kTakeFor = 250;
-constexpr io::Time kLookEvery = 20;
-// Answers that are written so long before the last moment still leave.
-constexpr io::Time kLastAnswers = 100;
+// How long the director still accepts connections after SIGTERM, in ms: whatever monitors the director
+// needs a moment to notice that it is shutting down.
+constexpr io::Time kShutdownListenTime = 250;
+constexpr io::Time kShutdownCheckInterval = 20;  // ms
+// Time left after the last deadline of an answer, in ms, so that answers already written can still be sent.
+constexpr io::Time kFinalAnswerTime = 100;
 
-log::Level level_of(const std::string& name) {
+log::Level parse_log_level(const std::string& name) {
     if (name == "debug") return log::Level::debug;
     if (name == "warning") return log::Level::warning;
     return name == "error" ? log::Level::error : log::Level::info;
@@ -28,7 +28,7 @@
 DirectorProcess::DirectorProcess(io::Loop& loop, const config::Config& config, std::uint64_t seed)
     : loop_(loop),
       config_(config),
-      log_(config.log_path, level_of(config.log_level), config.name),
+      log_(config.log_path, parse_log_level(config.log_level), config.name),
       nodes_(loop, config.name, config.settings,
              [&] {
                  nodes::LinkLimits limits;
@@ -42,19 +42,19 @@
       consul_(
           loop,
           [&] {
-              discovery::ConsulSettings s;
-              s.address = config.consul;
-              s.service = config.service;
-              s.user_agent = "ivyfield/" + config.name;
-              s.kinds = config.kinds;
-              s.max_wait = config.max_list_wait_ms;
-              s.allow_stale = config.allow_stale_list;
-              s.max_staleness = config.max_staleness_ms;
-              return s;
+              discovery::ConsulSettings consul_settings;
+              consul_settings.address = config.consul;
+              consul_settings.service = config.service;
+              consul_settings.user_agent = "ivyfield/" + config.name;
+              consul_settings.kinds = config.kinds;
+              consul_settings.max_wait = config.max_list_wait_ms;
+              consul_settings.allow_stale = config.allow_stale_list;
+              consul_settings.max_staleness = config.max_staleness_ms;
+              return consul_settings;
           }(),
-          [this](const std::vector<discovery::Instance>& instances) { listed(instances); }) {
+          [this](const std::vector<discovery::Instance>& instances) { update_list(instances); }) {
     nodes_.attach(&engine_);
-    engine_.on_session_record = [this](const core::SessionRecord& r) { ended(r); };
+    engine_.on_session_record = [this](const core::SessionRecord& record) { log_session(record); };
     engine_.on_director_log = [this](const std::string& text) {
         log_.write(log::Level::info, loop_.wall_ms(), "module", {{"text", text}});
     };
@@ -65,123 +65,124 @@
     log_.write(log::Level::info, loop_.wall_ms(), "started",
                {{"listen", front_.address().text()}, {"list", config.consul.text()}});
 }
-// Players and nodes hear of the end by their connections. Nothing is reported from here on: parts that would
-// be told go one after the other.
+// Players and nodes learn of the end when their connections close. The callbacks are cleared first, since the
+// members that they use are destroyed one after the other.
 DirectorProcess::~DirectorProcess() {
     engine_.on_session_record = nullptr;
     engine_.on_director_log = nullptr;
     nodes_.on_remark = nullptr;
 }
 
-void DirectorProcess::listed(const std::vector<discovery::Instance>& instances) {
+void DirectorProcess::update_list(const std::vector<discovery::Instance>& instances) {
     ServerList list;
     std::map<ServerId, io::Address> addresses;
-    for (const discovery::Instance& one : instances) {
-        list.entries.push_back(one.entry);
-        names_[one.entry.id] = one.id;
-        if (one.entry.state != ServerState::gone) addresses[one.entry.id] = one.address;
+    for (const discovery::Instance& instance : instances) {
+        list.entries.push_back(instance.entry);
+        node_names_[instance.entry.id] = instance.id;
+        if (instance.entry.state != ServerState::gone) addresses[instance.entry.id] = instance.address;
     }
-    listed_ = instances.size();
+    node_count_ = instances.size();
     nodes_.know(addresses);
     engine_.update_server_list(list);
     log_.write(log::Level::info, loop_.wall_ms(), "list", {{"nodes", instances.size()}});
 }
 
-void DirectorProcess::ended(const core::SessionRecord& r) {
-    const auto name = [this](ServerId id) {
-        const auto it = names_.find(id);
-        return it == names_.end() ? std::to_string(id) : it->second;
+void DirectorProcess::log_session(const core::SessionRecord& record) {
+    const auto node_name = [this](ServerId id) {
+        const auto it = node_names_.find(id);
+        return it == node_names_.end() ? std::to_string(id) : it->second;
     };
-    const Settings& s = config_.settings;
-    json line = make_session_log_line(r, name);
-    line["session"] = r.id;
-    line["sid"] = r.request.sid;
-    line["tenant"] = s.tenants[static_cast<std::size_t>(r.request.tenant)].name;
-    line["class"] = s.classes[static_cast<std::size_t>(r.request.cls)].name;
-    line["title"] = r.request.title_name;
-    line["asked"] = 1 + r.joined_requests;
+    const Settings& settings = config_.settings;
+    json line = make_session_log_line(record, node_name);
+    line["session"] = record.id;
+    line["sid"] = record.request.sid;
+    line["tenant"] = settings.tenants[static_cast<std::size_t>(record.request.tenant)].name;
+    line["class"] = settings.classes[static_cast<std::size_t>(record.request.cls)].name;
+    line["title"] = record.request.title_name;
+    line["asked"] = 1 + record.joined_requests;
     log_.write(log::Level::info, loop_.wall_ms(), "session", line);
 }
 
 void DirectorProcess::stop(std::function<void()> done) {
-    if (done_) return;
-    done_ = std::move(done);
-    io::Time longest = 0;
-    for (const ClassSettings& cls : config_.settings.classes) longest = std::max(longest, cls.patience);
-    stop_listening_at_ = loop_.now() + kTakeFor;
-    leave_at_ = stop_listening_at_ + longest + config_.settings.answer_slack + kLastAnswers;
+    if (on_stopped_) return;
+    on_stopped_ = std::move(done);
+    io::Time max_patience = 0;
+    for (const ClassSettings& cls : config_.settings.classes)
+        max_patience = std::max(max_patience, cls.patience);
+    stop_listening_at_ = loop_.now() + kShutdownListenTime;
+    shutdown_deadline_ = stop_listening_at_ + max_patience + config_.settings.answer_slack + kFinalAnswerTime;
     front_.drain();
     log_.write(log::Level::info, loop_.wall_ms(), "stopping", {{"owed", engine_.unanswered_sessions()}});
-    stopping();
+    continue_shutdown();
 }
 
-void DirectorProcess::stopping() {
-    const bool takes = loop_.now() < stop_listening_at_;
-    if (!takes) front_.stop_listening();
+void DirectorProcess::continue_shutdown() {
+    const bool accepting = loop_.now() < stop_listening_at_;
+    if (!accepting) front_.stop_listening();
     const bool idle = engine_.unanswered_sessions() == 0 && front_.connection_count() == 0;
-    if ((takes || !idle) && loop_.now() < leave_at_) {
-        stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
+    if ((accepting || !idle) && loop_.now() < shutdown_deadline_) {
+        stop_timer_ = loop_.after(kShutdownCheckInterval, [this] { continue_shutdown(); });
         return;
     }
     log_.write(log::Level::info, loop_.wall_ms(), "stopped", {{"owed", engine_.unanswered_sessions()}});
-    loop_.post([this] { done_(); });
+    loop_.post([this] { on_stopped_(); });
 }
 
 std::string DirectorProcess::status() const {
-    const core::EngineCounts& c = engine_.counts();
-    const fronts::HttpFrontCounts& f = front_.counts();
-    const discovery::ConsulCounts& d = consul_.counts();
-    const nodes::LinkCounts& n = nodes_.counts();
+    const core::EngineCounts& engine_counts = engine_.counts();
+    const fronts::HttpFrontCounts& front_counts = front_.counts();
+    const discovery::ConsulCounts& list_counts = consul_.counts();
+    const nodes::LinkCounts& node_counts = nodes_.counts();
     json streams = json::object();
     for (const auto& [state, count] : nodes_.streams()) streams[nodes::name(state)] = count;
     return json{{"name", config_.name},
                 {"sessions",
-                 {{"taken", c.accepted},
-                  {"joined", c.joined},
-                  {"played", c.established},
-                  {"refused", c.rejected},
-                  {"failed", c.failed},
-                  {"abandoned", c.abandoned},
-                  {"late", c.missed_deadlines},
-                  {"slips", c.invariant_violations},
-                  {"taken_back", c.reclaimed},
-                  {"not_taken_back", c.not_reclaimed},
-                  {"attempts", c.attempts},
-                  {"retried", c.retries},
-                  {"ended", c.ended},
-                  {"lost", c.reset},
+                 {{"taken", engine_counts.accepted},
+                  {"joined", engine_counts.joined},
+                  {"played", engine_counts.established},
+                  {"refused", engine_counts.rejected},
+                  {"failed", engine_counts.failed},
+                  {"abandoned", engine_counts.abandoned},
+                  {"late", engine_counts.missed_deadlines},
+                  {"slips", engine_counts.invariant_violations},
+                  {"taken_back", engine_counts.reclaimed},
+                  {"not_taken_back", engine_counts.not_reclaimed},
+                  {"attempts", engine_counts.attempts},
+                  {"retried", engine_counts.retries},
+                  {"ended", engine_counts.ended},
+                  {"lost", engine_counts.reset},
                   {"open", engine_.open_sessions()},
                   {"playing", engine_.established_sessions()}}},
                 {"players",
-                 {{"requests", f.requests},
-                  {"bad", f.bad},
-                  {"hints_dropped", f.hints_dropped},
-                  {"preflights", f.preflights},
-                  {"gone", f.gone}}},
+                 {{"requests", front_counts.requests},
+                  {"bad", front_counts.bad},
+                  {"hints_dropped", front_counts.hints_dropped},
+                  {"preflights", front_counts.preflights},
+                  {"gone", front_counts.gone}}},
                 {"list",
-                 {{"nodes", listed_},
-                  {"answers", d.answers},
-                  {"failures", d.failures},
-                  {"too_old", d.too_old},
-                  {"left_out", d.left_out},
+                 {{"nodes", node_count_},
+                  {"answers", list_counts.answers},
+                  {"failures", list_counts.failures},
+                  {"too_old", list_counts.too_old},
+                  {"left_out", list_counts.left_out},
                   {"fault", consul_.last_error()}}},
                 {"nodes",
                  {{"connections", nodes_.connections()},
                   {"streams", streams},
                   {"attempts", nodes_.attempts()},
                   {"doubtful", nodes_.doubtful()},
-                  {"set_ups", n.set_ups},
-                  {"streams_lost", n.streams_lost},
-                  {"accounts", n.accounts},
-                  {"whole_accounts", n.whole_accounts},
-                  {"lives_ended", n.lives_ended},
-                  {"put_right", n.put_right},
-                  {"releases", n.releases},
-                  {"released", n.released},
-                  {"written_off", n.written_off},
-                  {"unclaimed", n.unclaimed},
-                  {"too_old", n.too_old},
-                  {"bad_lines", n.bad_lines}}}}
+                  {"set_ups", node_counts.set_ups},
+                  {"streams_lost", node_counts.streams_lost},
+                  {"accounts", node_counts.accounts},
+                  {"whole_accounts", node_counts.whole_accounts},
+                  {"lives_ended", node_counts.lives_ended},
+                  {"put_right", node_counts.put_right},
+                  {"releases", node_counts.releases},
+                  {"released", node_counts.released},
+                  {"written_off", node_counts.written_off},
+                  {"unclaimed", node_counts.unclaimed},
+                  {"too_old", node_counts.too_old},
+                  {"bad_lines", node_counts.bad_lines}}}}
                .dump(2) +
            "\n";
 }
--- a/src/cli/director.hpp
+++ b/src/cli/director.hpp
@@ -1,5 +1,6 @@
-// One director, put together: engine, nodes, list, front and log on a loop. The same for `ivyfield serve`,
-// the day's child processes and the virtual world.
+// A director for HTTP: the engine, the connections to media nodes, the server list from Consul, the HTTP
+// interface for players and the log, on one event loop. `ivyfield serve` (also as a child process of
+// `ivyfield day`) and the simulated network use the same class.
 #pragma once
 
 #include "config/config.hpp"
@@ -11,22 +12,25 @@
 
 namespace ivyfield::cli {
 
+// One director with all its parts. `loop` has to outlive it.
 class DirectorProcess {
   public:
-    // Throws std::runtime_error when the address or the log can't be had.
+    // Throws std::runtime_error if it can't listen on the address or open the log file.
     DirectorProcess(io::Loop& loop, const config::Config& config, std::uint64_t seed);
     ~DirectorProcess();
-    // Graceful shutdown: takes requests for a while yet, answers all that it took, then calls `done`.
+    // Starts a graceful shutdown: accepts requests for a short while, answers all that it has accepted, then
+    // calls `done`. Further calls have no effect.
     void stop(std::function<void()> done);
     io::Address address() const { return front_.address(); }
     core::Engine& engine() { return engine_; }
     const fronts::HttpFront& front() const { return front_; }
+    // The counters of all parts as JSON text, for the status request.
     std::string status() const;
 
   private:
-    void listed(const std::vector<discovery::Instance>& instances);
-    void ended(const core::SessionRecord& record);
-    void stopping();
+    void update_list(const std::vector<discovery::Instance>& instances);
+    void log_session(const core::SessionRecord& record);
+    void continue_shutdown();
 
     io::Loop& loop_;
     config::Config config_;
@@ -35,10 +39,10 @@
     core::Engine engine_;
     fronts::HttpFront front_;
     discovery::ConsulClient consul_;
-    std::map<ServerId, std::string> names_;
-    std::size_t listed_ = 0;
-    std::function<void()> done_;  // set: shutting down
-    io::Time stop_listening_at_ = 0, leave_at_ = 0;
+    std::map<ServerId, std::string> node_names_;  // for the log; of nodes that left the list too
+    std::size_t node_count_ = 0;                  // entries of the current server list
+    std::function<void()> on_stopped_;            // set during a graceful shutdown
+    io::Time stop_listening_at_ = 0, shutdown_deadline_ = 0;
     io::Timer stop_timer_;
 };
 
--- a/src/cli/hints_command.cpp
+++ b/src/cli/hints_command.cpp
@@ -30,27 +30,27 @@
 }
 json to_json(const std::vector<DroppedKey>& dropped) {
     json out = json::array();
-    for (const DroppedKey& d : dropped) out.push_back({{"key", d.key}, {"why", d.reason}});
+    for (const DroppedKey& key : dropped) out.push_back({{"key", key.key}, {"why", key.reason}});
     return out;
 }
-// Payloads may hold any bytes; JSON may not.
-std::string line_of(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
+// Payloads may hold any bytes, JSON only valid UTF-8: invalid bytes are replaced.
+std::string to_line(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-Vocabulary vocabulary_of(const std::string& kind) {
+Vocabulary parse_vocabulary(const std::string& kind) {
     if (kind == "cmcd") return Vocabulary::cmcd;
     if (kind == "cmsd-static") return Vocabulary::cmsd_static;
     if (kind == "cmsd-dynamic") return Vocabulary::cmsd_dynamic;
     throw std::invalid_argument("unknown kind \"" + kind + "\"; known: cmcd, cmsd-static, cmsd-dynamic");
 }
 
-// JSON has no tokens: a string is sent as one where the key wants one.
+// JSON has no tokens: a string becomes a token where the key requires one.
 BareItem from_json(Vocabulary vocabulary, const std::string& key, const json& value) {
     if (value.is_boolean()) return value.get<bool>();
     if (value.is_number_integer()) return value.get<std::int64_t>();
     if (value.is_number()) {
         const double number = value.get<double>();
-        if (!(std::abs(number) < 1e12)) throw std::invalid_argument("\"" + key + "\": a number too large");
-        // Where an integer is wanted, a fraction is rounded; else three digits stand behind the point.
+        if (!(std::abs(number) < 1e12)) throw std::invalid_argument("\"" + key + "\": number out of range");
+        // Rounded to an integer if the key takes no decimals, else to three decimal places.
         if (check_key(vocabulary, key, Decimal{0}).empty()) return Decimal{std::llround(number * 1000)};
         return static_cast<std::int64_t>(std::llround(number));
     }
@@ -60,22 +60,22 @@
         if (why == "wanted a token" || why.rfind("wanted one of", 0) == 0) return Token{text};
         return text;
     }
-    throw std::invalid_argument("\"" + key + "\": neither number, string nor flag");
+    throw std::invalid_argument("\"" + key + "\": not a number, string or boolean");
 }
-// Keys that can't be sent are left out and told.
-Keys keys_from(Vocabulary vocabulary, const json& from, std::vector<std::string>& faults) {
+// Keys that can't be sent are left out, each with an error message.
+Keys parse_keys(Vocabulary vocabulary, const json& source, std::vector<std::string>& key_errors) {
     Keys keys;
-    if (!from.is_object()) throw std::invalid_argument("\"keys\" is not an object");
-    for (const auto& [key, value] : from.items()) {
+    if (!source.is_object()) throw std::invalid_argument("\"keys\" is not an object");
+    for (const auto& [key, value] : source.items()) {
         try {
             BareItem item = from_json(vocabulary, key, value);
-            Keys alone;
-            alone.values.emplace(key, item);
-            if (vocabulary == Vocabulary::cmsd_dynamic) encode_cmsd_dynamic({{"x", alone}});
-            else encode_keys(vocabulary, alone);
+            Keys single_key;
+            single_key.values.emplace(key, item);
+            if (vocabulary == Vocabulary::cmsd_dynamic) encode_cmsd_dynamic({{"x", single_key}});
+            else encode_keys(vocabulary, single_key);
             keys.values.emplace(key, std::move(item));
         } catch (const std::invalid_argument& e) {
-            faults.push_back(e.what());
+            key_errors.push_back(e.what());
         }
     }
     return keys;
@@ -84,7 +84,7 @@
 }  // namespace
 
 int decode_hints(const std::string& kind, std::istream& in, std::ostream& out) {
-    const Vocabulary vocabulary = vocabulary_of(kind);
+    const Vocabulary vocabulary = parse_vocabulary(kind);
     std::string line;
     while (std::getline(in, line)) {
         if (!line.empty() && line.back() == '\r') line.pop_back();
@@ -92,48 +92,48 @@
         if (vocabulary == Vocabulary::cmsd_dynamic) {
             const DecodedCmsdEntries decoded = decode_cmsd_dynamic(line);
             result["entries"] = json::array();
-            for (const CmsdEntry& e : decoded.entries)
-                result["entries"].push_back({{"name", e.name}, {"keys", to_json(e.keys)}});
+            for (const CmsdEntry& entry : decoded.entries)
+                result["entries"].push_back({{"name", entry.name}, {"keys", to_json(entry.keys)}});
             result["dropped"] = to_json(decoded.dropped);
         } else {
             const DecodedKeys decoded = decode_keys(vocabulary, line);
             result = {{"keys", to_json(decoded.keys)}, {"dropped", to_json(decoded.dropped)}};
         }
-        out << line_of(result) << "\n";
+        out << to_line(result) << "\n";
     }
     return 0;
 }
 
 int encode_hints(const std::string& kind, std::istream& in, std::ostream& out, std::ostream& errors) {
-    const Vocabulary vocabulary = vocabulary_of(kind);
+    const Vocabulary vocabulary = parse_vocabulary(kind);
     std::string line;
-    int number = 0, code = 0;
+    int line_number = 0, exit_code = 0;
     while (std::getline(in, line)) {
-        ++number;
-        std::vector<std::string> faults;
+        ++line_number;
+        std::vector<std::string> key_errors;
         std::string payload;
         try {
-            const json from = json::parse(line);
-            if (!from.is_object()) throw std::invalid_argument("not a JSON object");
+            const json source = json::parse(line);
+            if (!source.is_object()) throw std::invalid_argument("not a JSON object");
             if (vocabulary == Vocabulary::cmsd_dynamic) {
                 std::vector<CmsdEntry> entries;
-                for (const json& e : from.at("entries"))
-                    entries.push_back(
-                        {e.at("name").get<std::string>(), keys_from(vocabulary, e.at("keys"), faults)});
+                for (const json& entry : source.at("entries"))
+                    entries.push_back({entry.at("name").get<std::string>(),
+                                       parse_keys(vocabulary, entry.at("keys"), key_errors)});
                 payload = encode_cmsd_dynamic(entries);
             } else {
-                payload = encode_keys(vocabulary, keys_from(vocabulary, from.at("keys"), faults));
+                payload = encode_keys(vocabulary, parse_keys(vocabulary, source.at("keys"), key_errors));
             }
         } catch (const json::exception& e) {
-            faults.push_back(e.what());
+            key_errors.push_back(e.what());
         } catch (const std::invalid_argument& e) {
-            faults.push_back(e.what());
+            key_errors.push_back(e.what());
         }
-        out << payload << "\n";  // a line for each line, empty where nothing could be made of it
-        for (const std::string& fault : faults) errors << "line " << number << ": " << fault << "\n";
-        if (!faults.empty()) code = 1;
+        out << payload << "\n";  // one line for each input line, empty if it could not be encoded
+        for (const std::string& error : key_errors) errors << "line " << line_number << ": " << error << "\n";
+        if (!key_errors.empty()) exit_code = 1;
     }
-    return code;
+    return exit_code;
 }
 
 }  // namespace ivyfield::cli
--- a/src/cli/session_line.cpp
+++ b/src/cli/session_line.cpp
@@ -6,29 +6,31 @@
 
 using nlohmann::json;
 
-json make_session_log_line(const core::SessionRecord& r,
+json make_session_log_line(const core::SessionRecord& record,
                            const std::function<std::string(ServerId)>& node_name) {
     const auto rounded = [](double ms) { return std::round(ms * 10) / 10; };
-    json tries = json::array();
-    for (const core::AttemptRecord& one : r.attempt_records)
-        tries.push_back(
-            {{"node", node_name(one.server)}, {"end", one.outcome}, {"ms", rounded(one.elapsed)}});
-    json line = {{"answer", core::name(r.answer)},
-                 {"attempts", r.attempts},
-                 {"tries", tries},
-                 {"rung", r.rung},
-                 {"rungs_set", r.rung_changes},
-                 {"returning", r.returning},
-                 {"moved", r.moved},
-                 {"taken_back", r.reclaimed},
-                 {"ended_by", r.ended_by}};
-    if (r.end_crossed_answer) line["end_crossed_answer"] = true;
-    // The phases, in the order of their happening: held, set up, played.
-    const Time answered = r.answered_at;
-    line["held_ms"] = rounded((r.first_sent_at > 0 ? r.first_sent_at : answered) - r.received_at);
-    if (r.first_sent_at > 0) line["set_up_ms"] = rounded(answered - r.first_sent_at);
-    if (r.answer == core::Answer::established) line["played_ms"] = rounded(r.ended_at - answered);
-    if (r.answer == core::Answer::rejected) line["retry_after_ms"] = rounded(r.retry_after);
+    json attempts = json::array();
+    for (const core::AttemptRecord& attempt : record.attempt_records)
+        attempts.push_back({{"node", node_name(attempt.server)},
+                            {"end", attempt.outcome},
+                            {"ms", rounded(attempt.elapsed)}});
+    json line = {{"answer", core::name(record.answer)},
+                 {"attempts", record.attempts},
+                 {"tries", attempts},
+                 {"rung", record.rung},
+                 {"rungs_set", record.rung_changes},
+                 {"returning", record.returning},
+                 {"moved", record.moved},
+                 {"taken_back", record.reclaimed},
+                 {"ended_by", record.ended_by}};
+    if (record.end_crossed_answer) line["end_crossed_answer"] = true;
+    // The phases in their order: held until the first set-up was sent, set up, played.
+    const Time answered = record.answered_at;
+    line["held_ms"] =
+        rounded((record.first_sent_at > 0 ? record.first_sent_at : answered) - record.received_at);
+    if (record.first_sent_at > 0) line["set_up_ms"] = rounded(answered - record.first_sent_at);
+    if (record.answer == core::Answer::established) line["played_ms"] = rounded(record.ended_at - answered);
+    if (record.answer == core::Answer::rejected) line["retry_after_ms"] = rounded(record.retry_after);
     return line;
 }
 
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -1122,7 +1122,7 @@
         }
         return std::string("good");
     };
-    EXPECT_EQ(fault("\"dns\":\"127.0.0.1:5300\"", "\"dns\":7"), "/dns: not text");
+    EXPECT_EQ(fault("\"dns\":\"127.0.0.1:5300\"", "\"dns\":7"), "/dns: not a string");
     EXPECT_EQ(fault("\"8c1f30d27a5be964\"", "\"x\""), "/seed: not 16 hex digits");
     EXPECT_EQ(fault("\"sockets\":256", "\"sockets\":-1"), "/limits/sockets: out of range: -1");
     EXPECT_EQ(fault("\"pod_group\":2", "\"pod_group\":\"b\""),
