--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -31,10 +31,10 @@
       log_(config.log_path, level_of(config.log_level), config.name),
       nodes_(loop, config.name, config.settings,
              [&] {
-                 nodes::LinkLimits limits;
+                 nodes::NodeClientLimits limits;
                  limits.client.per_address = config.node_connections;
                  limits.connect_timeout = config.settings.connect_timeout;
-                 limits.silent = config.node_silent_ms;
+                 limits.silence_timeout = config.node_silent_ms;
                  return limits;
              }()),
       engine_(loop, config.settings, seed, nodes_, nullptr),
@@ -58,7 +58,7 @@
     engine_.on_remark = [this](const std::string& text) {
         log_.write(log::Level::info, loop_.wall_ms(), "module", {{"text", text}});
     };
-    nodes_.on_remark = [this](const std::string& text) {
+    nodes_.on_warning = [this](const std::string& text) {
         log_.write(log::Level::warning, loop_.wall_ms(), "nodes", {{"text", text}});
     };
     front_.status = [this] { return status(); };
@@ -70,7 +70,7 @@
 DirectorProcess::~DirectorProcess() {
     engine_.on_end = nullptr;
     engine_.on_remark = nullptr;
-    nodes_.on_remark = nullptr;
+    nodes_.on_warning = nullptr;
 }
 
 void DirectorProcess::listed(const std::vector<discovery::Instance>& instances) {
@@ -82,7 +82,7 @@
         if (one.entry.state != ServerState::gone) addresses[one.entry.id] = one.address;
     }
     listed_ = instances.size();
-    nodes_.know(addresses);
+    nodes_.set_nodes(addresses);
     engine_.take_list(list);
     log_.write(log::Level::info, loop_.wall_ms(), "list", {{"nodes", instances.size()}});
 }
@@ -131,9 +131,9 @@
     const core::Counts& c = engine_.counts();
     const fronts::FrontCounts& f = front_.counts();
     const discovery::ConsulCounts& d = consul_.counts();
-    const nodes::LinkCounts& n = nodes_.counts();
+    const nodes::NodeClientCounts& n = nodes_.counts();
     json streams = json::object();
-    for (const auto& [state, count] : nodes_.streams()) streams[nodes::name(state)] = count;
+    for (const auto& [state, count] : nodes_.count_streams()) streams[nodes::name(state)] = count;
     return json{{"name", config_.name},
                 {"sessions",
                  {{"taken", c.taken},
@@ -166,22 +166,22 @@
                   {"left_out", d.left_out},
                   {"fault", consul_.last_fault()}}},
                 {"nodes",
-                 {{"connections", nodes_.connections()},
+                 {{"connections", nodes_.connection_count()},
                   {"streams", streams},
-                  {"attempts", nodes_.attempts()},
-                  {"doubtful", nodes_.doubtful()},
+                  {"attempts", nodes_.attempt_count()},
+                  {"doubtful", nodes_.in_doubt_count()},
                   {"set_ups", n.set_ups},
                   {"streams_lost", n.streams_lost},
-                  {"accounts", n.accounts},
-                  {"whole_accounts", n.whole_accounts},
-                  {"lives_ended", n.lives_ended},
-                  {"put_right", n.put_right},
-                  {"releases", n.releases},
+                  {"accounts", n.hellos},
+                  {"whole_accounts", n.full_snapshots},
+                  {"lives_ended", n.restarts},
+                  {"put_right", n.reconciled},
+                  {"releases", n.release_requests},
                   {"released", n.released},
-                  {"written_off", n.written_off},
-                  {"unclaimed", n.unclaimed},
-                  {"too_old", n.too_old},
-                  {"bad_lines", n.bad_lines}}}}
+                  {"written_off", n.presumed_ended},
+                  {"unclaimed", n.orphaned},
+                  {"too_old", n.outdated_nodes},
+                  {"bad_lines", n.malformed_lines}}}}
                .dump(2) +
            "\n";
 }
--- a/src/cli/director.hpp
+++ b/src/cli/director.hpp
@@ -7,7 +7,7 @@
 #include "discovery/consul.hpp"
 #include "fronts/http/front.hpp"
 #include "log/log.hpp"
-#include "nodes/link.hpp"
+#include "nodes/client.hpp"
 
 namespace ivyfield::cli {
 
@@ -31,7 +31,7 @@
     io::Loop& loop_;
     config::Config config_;
     log::Log log_;
-    nodes::NodeLink nodes_;
+    nodes::NodeClient nodes_;
     core::Engine engine_;
     fronts::HttpFront front_;
     discovery::Consul consul_;
--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -34,9 +34,9 @@
              [&] {
                  nodes::RelayLimits limits;
                  limits.connect_timeout = config.settings.connect_timeout;
-                 limits.idle_close = config.idle_close;
-                 limits.connections = config.sockets / 2;
-                 limits.report = config.report;
+                 limits.idle_timeout = config.idle_close;
+                 limits.max_connections = config.sockets / 2;
+                 limits.report_fields = config.report;
                  return limits;
              }()),
       engine_(loop, config.settings, config.seed, nodes_, nullptr),
@@ -62,7 +62,7 @@
         remark(log::Level::error, "broken invariant", {{"history", history}});
     };
     engine_.on_gone = [this](SessionId id, bool owed, bool moved) { front_.gone(id, owed, moved); };
-    nodes_.on_remark = [this](const std::string& text) {
+    nodes_.on_warning = [this](const std::string& text) {
         remark(log::Level::warning, "nodes", {{"text", text}});
     };
     front_.node_named = [this](const std::string& uid) -> std::optional<ServerId> {
@@ -71,7 +71,7 @@
     };
     front_.adopt = [this](const core::Ask& ask, ServerId server) {
         if (!engine_.adopt(ask, server)) return false;
-        nodes_.adopt(server, *ask.number, 0);
+        nodes_.adopt_session(server, *ask.number, 0);
         return true;
     };
     front_.on_bad = [this](const std::string& why, const relay::ViewerMessage& m) {
@@ -100,7 +100,7 @@
     engine_.on_slip = nullptr;
     engine_.on_gone = nullptr;
     front_.on_closed = nullptr;
-    nodes_.on_remark = nullptr;
+    nodes_.on_warning = nullptr;
 }
 
 void RelayProcess::remark(log::Level level, const char* event, const json& fields) {
@@ -149,7 +149,7 @@
         else names_.erase(named_.front());
         named_.pop_front();
     }
-    nodes_.know(known);
+    nodes_.set_nodes(known);
 }
 
 // A whole list comes; the module hears what has changed, as in the simulator.
@@ -199,7 +199,7 @@
 }
 void RelayProcess::stopping() {
     front_.end_drained_connections();
-    const decide::Unfinished left{engine_.owed(), !front_.drained() || !nodes_.drained(),
+    const decide::Unfinished left{engine_.owed(), !front_.drained() || !nodes_.is_drained(),
                                   front_.connections(), front_.heard_at()};
     if (!shutdown_->leaves(loop_.now(), left)) {
         stop_timer_ = loop_.after(kLookEvery, [this] { stopping(); });
@@ -207,7 +207,7 @@
     }
     // Our ends follow the last words; the process leaves once they are out.
     front_.end_all();
-    nodes_.end_all();
+    nodes_.end_connections();
     remark(log::Level::info, "stopped", status());
     loop_.post([this] { done_(); });
 }
@@ -215,9 +215,9 @@
 void RelayProcess::ended(const core::SessionRecord& r) {
     json line = session_line(r, [this](ServerId id) {
         const auto it = names_.find(id);
-        return it == names_.end() ? relay::hex(id) : it->second;
+        return it == names_.end() ? relay::to_hex(id) : it->second;
     });
-    line["id"] = relay::hex(r.id);
+    line["id"] = relay::to_hex(r.id);
     line["class"] = config_.classes[static_cast<std::size_t>(r.ask.cls)];
     remark(log::Level::info, "session", line);
 }
@@ -258,14 +258,14 @@
               {"releases", f.releases},
               {"unknown_releases", f.unknown_releases}}},
             {"nodes",
-             {{"connections", nodes_.connections()},
+             {{"connections", nodes_.connection_count()},
               {"dials", n.dials},
-              {"tests", n.tests},
-              {"spoilt", n.spoilt},
+              {"tests", n.probes},
+              {"spoilt", n.malformed},
               {"resets", n.resets},
-              {"stray", n.stray},
-              {"shared", n.shared},
-              {"vanished", n.vanished}}},
+              {"stray", n.unexpected},
+              {"shared", n.shared_connections},
+              {"vanished", n.unreachable}}},
             {"list",
              {{"asked", d.asked},
               {"taken", d.taken},
--- a/src/config/relay.cpp
+++ b/src/config/relay.cpp
@@ -125,7 +125,7 @@
     c.name = text(doc, "name", "");
     c.listen = address(doc, "listen", "");
     c.dns = address(doc, "dns", "");
-    const auto seed = relay::read_hex(text(doc, "seed", ""));
+    const auto seed = relay::parse_hex(text(doc, "seed", ""));
     if (!seed) fail("/seed", "not 16 hex digits");
     c.seed = *seed;
     const json& limits = part(doc, "limits", "");
--- a/src/fronts/relay/front.cpp
+++ b/src/fronts/relay/front.cpp
@@ -10,7 +10,7 @@
 
 namespace ivyfield::fronts {
 
-using relay::Type;
+using relay::MessageType;
 using relay::ViewerMessage;
 
 namespace {
@@ -20,7 +20,7 @@
 constexpr io::Time kSweep = 250;
 
 std::optional<int> whole(const std::string& text, int least, int most) {
-    const auto value = relay::read_number(text);
+    const auto value = relay::parse_number(text);
     if (!value || *value != std::floor(*value) || *value < least || *value > most) return std::nullopt;
     return static_cast<int>(*value);
 }
@@ -94,7 +94,7 @@
         : owner(o), session(s), id(std::move(text)), connection(c) {}
     void plays(const core::Placement& where) override {
         ViewerMessage m;
-        m.type = Type::answer, m.id = id, m.sdp = where.media.description;
+        m.type = MessageType::answer, m.id = id, m.sdp = where.media.description;
         Connection* c = connection;
         owner.answered(session);
         owner.standing_[session] = {c, owner.loop_.now()};
@@ -309,7 +309,7 @@
     if (c.gone) return;
     c.used = loop_.now();
     if (c.unread) return;
-    c.stream->write(relay::write_line(m));
+    c.stream->write(relay::encode_line(m));
     if (c.stream->pending() <= limits_.unread_output) return;
     // Not within this call: it may be the module's refusal of one set-up, with the sending of another of the
     // same connection still to be carried out.
@@ -326,7 +326,7 @@
 }
 void RelayFront::release(Connection& c, const std::string& id, int cause, Time wait) {
     ViewerMessage m;
-    m.type = Type::release, m.id = id, m.cause = cause;
+    m.type = MessageType::release, m.id = id, m.cause = cause;
     if (wait >= 1) m.fields["wait"] = std::to_string(std::llround(wait));
     send(c, m);
 }
@@ -340,7 +340,7 @@
     while (!c.gone && !c.ending && !bytes.empty()) {
         c.requested = true;
         const auto line = c.decoder.next(bytes);
-        if (c.decoder.too_long()) {
+        if (c.decoder.is_too_long()) {
             counts_.unreadable += 1;
             return close(c, CloseReason::unreadable);
         }
@@ -350,29 +350,29 @@
 }
 
 void RelayFront::take(Connection& c, const std::string& line) {
-    const relay::Line read = relay::read_line(line);
-    if (const auto* fault = std::get_if<relay::Fault>(&read)) {
+    const relay::ParsedLine read = relay::parse_line(line);
+    if (const auto* fault = std::get_if<relay::ParseError>(&read)) {
         counts_.unreadable += 1;
         // One that names a session is told; what it belongs to is not known otherwise.
-        if (const auto number = relay::read_hex(fault->id); number && !requests_.count(*number))
+        if (const auto number = relay::parse_hex(fault->id); number && !requests_.count(*number))
             return release(c, fault->id, kUnusable);
         return close(c, CloseReason::unreadable);
     }
     const auto& m = std::get<ViewerMessage>(read);
     switch (m.type) {
-        case Type::setup:
+        case MessageType::setup:
             return take_set_up(c, m);
-        case Type::release:
+        case MessageType::release:
             return take_release(c, m);
-        case Type::ping: {
+        case MessageType::ping: {
             counts_.tests += 1;
             c.tested = true;
             ViewerMessage pong;
-            pong.type = Type::pong, pong.id = m.id, pong.cause = relay::kCausePassed;
+            pong.type = MessageType::pong, pong.id = m.id, pong.cause = relay::kPongPassed;
             return send(c, pong);
         }
-        case Type::released:
-        case Type::progress:
+        case MessageType::released:
+        case MessageType::progress:
             return;
         default:
             counts_.bad += 1;
@@ -399,12 +399,12 @@
         if (ask.tenant < 0) return "no such tenant";
     }
     ask.title_name = field("key");
-    const auto title = relay::read_hex(ask.title_name);
+    const auto title = relay::parse_hex(ask.title_name);
     if (!title) return "key is no title";
     ask.title = *title;
     if (!m.sdp || m.sdp->empty()) return "no description";
     ask.description = *m.sdp;
-    const auto extras = relay::read_pairs(field("extras"));
+    const auto extras = relay::parse_pairs(field("extras"));
     if (!extras) return "extras can't be read";
     const auto extra = [&](const char* name) {
         const auto it = extras->find(name);
@@ -417,14 +417,14 @@
     if (settings_.cells > 0 && (*home >= settings_.cells || *copies > settings_.cells))
         return "home or copies is out of range";
     ask.first_cell = *home, ask.cell_count = *copies, ask.top_rung = *top;
-    const auto viewer = relay::read_hex(extra("viewer"));
+    const auto viewer = relay::parse_hex(extra("viewer"));
     if (!viewer) return "viewer can't be read";
     ask.viewer = *viewer;
     ask.again = extra("again") == "1";
     at = extra("at");
     // One that plays already waits for nothing, and says so by a time without bound.
     const Time patience = settings_.classes[static_cast<std::size_t>(ask.cls)].patience;
-    const auto left = relay::read_number(field("left"));
+    const auto left = relay::parse_number(field("left"));
     if (!left || *left <= 0 || (at.empty() && *left > patience + 1)) return "left is no time to wait";
     ask.deadline = loop_.now() + *left;
     return "";
@@ -513,7 +513,7 @@
         return close_if_done(c);
     }
     ViewerMessage heard;
-    heard.type = Type::released, heard.id = m.id;
+    heard.type = MessageType::released, heard.id = m.id;
     if (engine_.hang_up(m.session)) {
         counts_.hung_up += 1;
         if (const auto it = standing_.find(m.session); it != standing_.end()) {
@@ -558,8 +558,8 @@
 
 void RelayFront::notify(Connection& c, const Notification& end) {
     ViewerMessage m;
-    m.type = end.moved ? Type::move : Type::release;
-    m.id = relay::hex(end.id);
+    m.type = end.moved ? MessageType::move : MessageType::release;
+    m.id = relay::to_hex(end.id);
     if (!end.moved) m.cause = kOver;
     counts_.releases += 1;
     while (!c.told.empty() && !decide::may_have_crossed(loop_.now() - c.told.front().when))
--- a/src/nodes/link.cpp
+++ b/src/nodes/client.cpp
@@ -1,4 +1,4 @@
-#include "nodes/link.hpp"
+#include "nodes/client.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -14,21 +14,21 @@
     switch (state) {
         case StreamState::down:
             return "down";
-        case StreamState::waiting:
+        case StreamState::queued:
             return "waiting";
-        case StreamState::dialling:
+        case StreamState::connecting:
             return "dialling";
-        case StreamState::opening:
+        case StreamState::awaiting_hello:
             return "opening";
-        case StreamState::account:
+        case StreamState::syncing:
             return "account";
-        case StreamState::live:
+        case StreamState::synced:
             return "live";
     }
     return "?";
 }
 
-struct NodeLink::Node {
+struct NodeClient::Node {
     ServerId id = 0;
     io::Address address;
     bool listed = true;
@@ -105,19 +105,20 @@
 
 }  // namespace
 
-NodeLink::NodeLink(io::Loop& loop, std::string director, const Settings& settings, const LinkLimits& limits)
+NodeClient::NodeClient(io::Loop& loop, std::string director, const Settings& settings,
+                       const NodeClientLimits& limits)
     : loop_(loop),
       director_(std::move(director)),
       settings_(settings),
       limits_(limits),
       client_(loop, limits.client) {}
-NodeLink::~NodeLink() = default;
+NodeClient::~NodeClient() = default;
 
-std::string NodeLink::target(SessionId session, int attempt) const {
+std::string NodeClient::target(SessionId session, int attempt) const {
     return "/v1/sessions/" + director_ + "/" + std::to_string(session) + "/" + std::to_string(attempt);
 }
 
-void NodeLink::know(const std::map<ServerId, io::Address>& listed) {
+void NodeClient::set_nodes(const std::map<ServerId, io::Address>& listed) {
     for (auto& [id, node] : nodes_) {
         const bool now = listed.count(id) != 0;
         if (node->listed && !now) {
@@ -145,17 +146,17 @@
     }
 }
 
-std::map<StreamState, std::size_t> NodeLink::streams() const {
+std::map<StreamState, std::size_t> NodeClient::count_streams() const {
     std::map<StreamState, std::size_t> out;
     for (const auto& [id, node] : nodes_) out[node->state] += 1;
     return out;
 }
-std::size_t NodeLink::attempts() const {
+std::size_t NodeClient::attempt_count() const {
     std::size_t n = 0;
     for (const auto& [id, node] : nodes_) n += node->account.size();
     return n;
 }
-std::size_t NodeLink::doubtful() const {
+std::size_t NodeClient::in_doubt_count() const {
     std::size_t n = 0;
     for (const auto& [id, node] : nodes_) n += node->account.doubtful();
     return n;
@@ -164,24 +165,24 @@
 // ---- Events of nodes ----
 
 // Streams lost all at once come back a few at a time.
-void NodeLink::want_stream(Node& node) {
+void NodeClient::want_stream(Node& node) {
     node.redial.stop();
-    if (dialling_ < limits_.dials) return open_stream(node);
-    node.state = StreamState::waiting;
+    if (dialling_ < limits_.max_concurrent_dials) return open_stream(node);
+    node.state = StreamState::queued;
     to_dial_.push_back(node.id);
 }
-void NodeLink::dial_over(Node& node) {
-    if (node.state != StreamState::dialling) return;
-    node.state = StreamState::opening;
+void NodeClient::dial_over(Node& node) {
+    if (node.state != StreamState::connecting) return;
+    node.state = StreamState::awaiting_hello;
     dialling_ -= 1;
-    while (!to_dial_.empty() && dialling_ < limits_.dials) {
+    while (!to_dial_.empty() && dialling_ < limits_.max_concurrent_dials) {
         const auto next = nodes_.find(to_dial_.front());
         to_dial_.pop_front();
-        if (next != nodes_.end() && next->second->state == StreamState::waiting) open_stream(*next->second);
+        if (next != nodes_.end() && next->second->state == StreamState::queued) open_stream(*next->second);
     }
 }
 
-void NodeLink::open_stream(Node& node) {
+void NodeClient::open_stream(Node& node) {
     http::Request request;
     request.target =
         "/v1/events?director=" + http::percent_encode(director_) + "&protocol=" + std::to_string(kProtocol);
@@ -204,18 +205,18 @@
         for (std::size_t end; (end = at->partial.find('\n', from)) != std::string::npos; from = end + 1)
             line(at->id, std::string_view(at->partial).substr(from, end - from));
         at->partial.erase(0, from);
-        if (at->partial.size() > limits_.line) {
-            counts_.bad_lines += 1;
+        if (at->partial.size() > limits_.max_line_size) {
+            counts_.malformed_lines += 1;
             at->partial.clear();
         }
     };
     node.partial.clear();
-    node.state = StreamState::dialling;
+    node.state = StreamState::connecting;
     dialling_ += 1;
-    node.silence =
-        loop_.after(limits_.connect_timeout + limits_.silent, [this, at] { stream_lost(*at, false); });
+    node.silence = loop_.after(limits_.connect_timeout + limits_.silence_timeout,
+                               [this, at] { stream_lost(*at, false); });
     node.due =
-        loop_.after(limits_.connect_timeout + limits_.account, [this, at] { stream_lost(*at, false); });
+        loop_.after(limits_.connect_timeout + limits_.sync_timeout, [this, at] { stream_lost(*at, false); });
     node.account.stream_asked();
     node.stream = client_.send(
         node.address, std::move(request), std::move(options), [this, at](const http::CallResult& r) {
@@ -223,12 +224,12 @@
         });
 }
 
-void NodeLink::heard(Node& node) {
+void NodeClient::heard(Node& node) {
     node.last_word = loop_.now();
-    node.silence = loop_.after(limits_.silent, [this, at = &node] { stream_lost(*at, false); });
+    node.silence = loop_.after(limits_.silence_timeout, [this, at = &node] { stream_lost(*at, false); });
 }
 
-void NodeLink::stream_lost(Node& node, bool refused) {
+void NodeClient::stream_lost(Node& node, bool refused) {
     counts_.streams_lost += 1;
     dial_over(node);
     node.state = StreamState::down;
@@ -240,13 +241,13 @@
     // Counted from the first loss; a stream that comes back to life stops it.
     if (!node.lost) {
         node.lost = true;
-        node.unheard = loop_.after(limits_.unheard_after, [this, id] {
+        node.unheard = loop_.after(limits_.unreachable_timeout, [this, id] {
             const auto it = nodes_.find(id);
             if (it != nodes_.end()) carry(id, it->second->account.node_unheard());
         });
     }
-    node.wait =
-        node.too_old ? limits_.redial_most : std::clamp(node.wait * 2, limits_.redial, limits_.redial_most);
+    node.wait = node.too_old ? limits_.max_redial_delay
+                             : std::clamp(node.wait * 2, limits_.min_redial_delay, limits_.max_redial_delay);
     const io::Time wait = node.wait * std::uniform_real_distribution<double>(0.5, 1.5)(loop_.random());
     node.redial = loop_.after(wait, [this, id] {
         const auto it = nodes_.find(id);
@@ -255,7 +256,7 @@
     if (refused) {
         node.last_word = loop_.now();
         const auto changes = node.account.stream_refused();
-        counts_.put_right += changes.size();
+        counts_.reconciled += changes.size();
         events_->life(id, loop_.now());
         carry(id, changes);
     }
@@ -263,24 +264,24 @@
 
 // What is off the list and says nothing for long holds nothing of ours any more: the list's word is the only
 // one there is.
-void NodeLink::consider_write_off(Node& node) {
-    node.off = loop_.at(node.last_word + limits_.written_off_after, [this, id = node.id] {
+void NodeClient::consider_write_off(Node& node) {
+    node.off = loop_.at(node.last_word + limits_.unlisted_timeout, [this, id = node.id] {
         const auto it = nodes_.find(id);
         if (it == nodes_.end() || it->second->listed) return;
         Node& at = *it->second;
         if (at.account.empty()) return;
-        if (loop_.now() < at.last_word + limits_.written_off_after) return consider_write_off(at);
+        if (loop_.now() < at.last_word + limits_.unlisted_timeout) return consider_write_off(at);
         at.to_release.clear();
         const auto changes = at.account.written_off();
-        counts_.written_off += changes.size();
-        if (on_remark && !changes.empty())
-            on_remark("node " + at.address.text() + " is off the list and silent: " +
-                      std::to_string(changes.size()) + " attempts there are written off");
+        counts_.presumed_ended += changes.size();
+        if (on_warning && !changes.empty())
+            on_warning("node " + at.address.text() + " is off the list and silent: " +
+                       std::to_string(changes.size()) + " attempts there are written off");
         carry(id, changes);
     });
 }
 
-void NodeLink::line(ServerId server, std::string_view text) {
+void NodeClient::line(ServerId server, std::string_view text) {
     const auto found = nodes_.find(server);
     if (text.empty() || found == nodes_.end()) return;
     Node& node = *found->second;
@@ -294,11 +295,11 @@
         if (kind == "hello") {
             if (event.value("protocol", 1) < kProtocol) {
                 if (!node.too_old) {
-                    counts_.too_old += 1;
-                    if (on_remark)
-                        on_remark("node " + node.address.text() + " speaks protocol " +
-                                  std::to_string(event.value("protocol", 1)) + "; " +
-                                  std::to_string(kProtocol) + " is needed: nothing is sent there");
+                    counts_.outdated_nodes += 1;
+                    if (on_warning)
+                        on_warning("node " + node.address.text() + " speaks protocol " +
+                                   std::to_string(event.value("protocol", 1)) + "; " +
+                                   std::to_string(kProtocol) + " is needed: nothing is sent there");
                 }
                 node.too_old = true;
                 loop_.post([this, server] {
@@ -311,12 +312,12 @@
             if (boot.empty()) throw std::invalid_argument("an empty boot");
             const bool whole = event.at("whole").get<bool>();
             node.too_old = false;
-            node.state = StreamState::account;
+            node.state = StreamState::syncing;
             node.wait = 0;
-            counts_.accounts += 1, counts_.whole_accounts += whole;
-            counts_.lives_ended += !node.account.boot().empty() && node.account.boot() != boot;
+            counts_.hellos += 1, counts_.full_snapshots += whole;
+            counts_.restarts += !node.account.boot().empty() && node.account.boot() != boot;
             const auto changes = node.account.hello(boot, whole);
-            counts_.put_right += changes.size();
+            counts_.reconciled += changes.size();
             const double age = event.value("age_ms", 0.0);
             events_->life(server, loop_.now() - std::max(0.0, age));
             carry(server, changes);
@@ -327,15 +328,15 @@
             const core::FoundPlaying one = found_of(event, server, settings_);
             const auto begun = event.at("seq").get<std::uint64_t>();
             const bool taken_back = events_->found(one);
-            counts_.unclaimed += 1;
+            counts_.orphaned += 1;
             node.account.claimed(key(), begun, taken_back);
             if (taken_back) return;
             node.to_release.insert(key());
             release(node);
         } else if (kind == "account") {
             const auto changes = node.account.complete(event.at("seq").get<std::uint64_t>());
-            counts_.put_right += changes.size();
-            node.state = StreamState::live;
+            counts_.reconciled += changes.size();
+            node.state = StreamState::synced;
             node.lost = false;
             node.unheard.stop(), node.due.stop();
             carry(server, changes);
@@ -360,11 +361,11 @@
             events_->note(key().first, key().second, server, note, value);
         }  // "tick" and what later versions add: only a sign of life
     } catch (const std::exception&) {
-        counts_.bad_lines += 1;
+        counts_.malformed_lines += 1;
     }
 }
 
-void NodeLink::carry(ServerId server, const NodeAccount::Changes& changes, const core::Media& media) {
+void NodeClient::carry(ServerId server, const NodeAccount::Changes& changes, const core::Media& media) {
     for (const Change& c : changes) {
         const auto [session, attempt] = c.key;
         switch (c.what) {
@@ -398,10 +399,10 @@
 
 // One at a time, naming all that waits; again until it is answered. A node that answers plays nothing of
 // what was named, and will not, should the set-up still come; where nobody listens nothing plays.
-void NodeLink::release(Node& node) {
+void NodeClient::release(Node& node) {
     if (node.release || node.to_release.empty()) return;
     if (node.releasing.empty()) {
-        while (!node.to_release.empty() && node.releasing.size() < limits_.releases) {
+        while (!node.to_release.empty() && node.releasing.size() < limits_.max_attempts_per_release) {
             const auto first = node.to_release.begin();
             node.releasing.insert(*first);
             node.to_release.erase(first);
@@ -417,7 +418,7 @@
     http::CallOptions options;
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = limits_.probe_timeout;
-    counts_.releases += 1;
+    counts_.release_requests += 1;
     node.release = client_.send(
         node.address, std::move(request), std::move(options),
         [this, id = node.id](const http::CallResult& r) {
@@ -439,7 +440,8 @@
             }
             for (const Key& key : named)
                 if (at.account.doubts().count(key) || at.account.plays(key)) at.to_release.insert(key);
-            at.release_wait = std::clamp(at.release_wait * 2, limits_.release_again, limits_.redial_most);
+            at.release_wait =
+                std::clamp(at.release_wait * 2, limits_.release_retry_delay, limits_.max_redial_delay);
             at.release_timer = loop_.after(at.release_wait, [this, id] {
                 const auto again = nodes_.find(id);
                 if (again != nodes_.end()) release(*again->second);
@@ -449,7 +451,7 @@
 
 // ---- What is asked of nodes ----
 
-void NodeLink::set_up(const core::SetUp& what) {
+void NodeClient::set_up(const core::SetUp& what) {
     counts_.set_ups += 1;
     const Key key{what.session, what.attempt};
     const auto it = nodes_.find(what.server);
@@ -507,7 +509,7 @@
                     carry(server, account.answered(key, boot, answer.at("seq").get<std::uint64_t>()), media);
                     // Of a life that this stream has not told of: only a new hello can say which is newer.
                     const auto now = nodes_.find(server);
-                    if (!known && now != nodes_.end() && now->second->state == StreamState::live &&
+                    if (!known && now != nodes_.end() && now->second->state == StreamState::synced &&
                         now->second->account.needs_hello())
                         stream_lost(*now->second, false);
                     return;
@@ -517,7 +519,8 @@
         });
 }
 
-void NodeLink::command(ServerId server, const char* method, const std::string& to, const std::string& body) {
+void NodeClient::command(ServerId server, const char* method, const std::string& to,
+                         const std::string& body) {
     const auto it = nodes_.find(server);
     if (it == nodes_.end()) return;
     http::Request request;
@@ -535,13 +538,13 @@
                                      commands_.erase(id);
                                  });
 }
-void NodeLink::set_rung(ServerId server, SessionId session, int attempt, int rung) {
+void NodeClient::set_rung(ServerId server, SessionId session, int attempt, int rung) {
     command(server, "PUT", target(session, attempt) + "/rung", json{{"rung", rung}}.dump());
 }
-void NodeLink::move(ServerId server, SessionId session, int attempt) {
+void NodeClient::move(ServerId server, SessionId session, int attempt) {
     command(server, "POST", target(session, attempt) + "/move", "");
 }
-void NodeLink::cancel(ServerId server, SessionId session, int attempt) {
+void NodeClient::cancel(ServerId server, SessionId session, int attempt) {
     // The call's connection closes, which is the first word of it; the release reaches a node that has done
     // the set-up and lost the answer.
     const Key key{session, attempt};
@@ -559,7 +562,7 @@
     release(*it->second);
 }
 
-void NodeLink::probe(ServerId server) {
+void NodeClient::probe(ServerId server) {
     const auto it = nodes_.find(server);
     if (it == nodes_.end()) {
         loop_.post([this, server] { events_->probed(server, Outcome::not_connected, 0, {}); });
--- a/src/nodes/link.hpp
+++ b/src/nodes/client.hpp
@@ -22,51 +22,53 @@
 
 namespace ivyfield::nodes {
 
-struct LinkLimits {
+struct NodeClientLimits {
     http::ClientLimits client;
     io::Time connect_timeout = 250;
     io::Time probe_timeout = 2000;
-    io::Time silent = 3000;    // a stream without even a tick for so long is dialled anew
-    io::Time account = 10000;  // and one that has not told the whole account by then
-    // After a loss, doubling up to `redial_most`, spread by half either way. Short at first: a node that
+    io::Time silence_timeout = 3000;  // a stream without even a tick for so long is dialled anew
+    io::Time sync_timeout = 10000;    // and one that has not told the whole account by then
+    // After a loss, doubling up to `max_redial_delay`, spread by half either way. Short at first: a node that
     // comes back is cold, and only its hello tells.
-    io::Time redial = 80;
-    io::Time redial_most = 4000;
-    std::size_t dials = 32;              // streams dialled at once; further ones wait for their turn
-    io::Time unheard_after = 30000;      // no stream for so long, nor a refusal: what plays there is lost
-    io::Time written_off_after = 60000;  // off the list and without a word for so long: nothing is left there
-    io::Time release_again = 500;        // a release unanswered is sent again, doubling up to redial_most
-    std::size_t releases = 256;          // attempts named in one release
-    std::size_t line = 16 * 1024;        // an event's longest line
+    io::Time min_redial_delay = 80;
+    io::Time max_redial_delay = 4000;
+    std::size_t max_concurrent_dials = 32;  // streams dialled at once; further ones wait for their turn
+    io::Time unreachable_timeout = 30000;   // no stream for so long, nor a refusal: what plays there is lost
+    io::Time unlisted_timeout = 60000;  // off the list and without a word for so long: nothing is left there
+    io::Time release_retry_delay =
+        500;  // a release unanswered is sent again, doubling up to max_redial_delay
+    std::size_t max_attempts_per_release = 256;  // attempts named in one release
+    std::size_t max_line_size = 16 * 1024;       // an event's longest line
 };
 
-struct LinkCounts {
-    std::uint64_t set_ups = 0, bad_lines = 0, streams_lost = 0, accounts = 0, whole_accounts = 0;
-    std::uint64_t lives_ended = 0;  // a node was found in a new life
-    std::uint64_t put_right = 0;    // sessions ended by an account or a new life, not by a word of their own
-    std::uint64_t releases = 0, released = 0, written_off = 0, unclaimed = 0, too_old = 0;
+struct NodeClientCounts {
+    std::uint64_t set_ups = 0, malformed_lines = 0, streams_lost = 0, hellos = 0, full_snapshots = 0;
+    std::uint64_t restarts = 0;    // a node was found in a new life
+    std::uint64_t reconciled = 0;  // sessions ended by an account or a new life, not by a word of their own
+    std::uint64_t release_requests = 0, released = 0, presumed_ended = 0, orphaned = 0, outdated_nodes = 0;
 };
 
 // Where a node's stream of events stands (docs/design/nodes.md).
 enum class StreamState {
-    down,      // lost; to be dialled when its wait is over
-    waiting,   // wants to be dialled, too many others are
-    dialling,  // asked for, no answer yet
-    opening,   // answered, no hello yet
-    account,   // hello was told, its account not to the end
-    live
+    down,            // lost; to be dialled when its wait is over
+    queued,          // wants to be dialled, too many others are
+    connecting,      // asked for, no answer yet
+    awaiting_hello,  // answered, no hello yet
+    syncing,         // hello was told, its account not to the end
+    synced
 };
 const char* name(StreamState state);
 
-class NodeLink : public core::NodePort {
+class NodeClient : public core::NodePort {
   public:
-    NodeLink(io::Loop& loop, std::string director, const Settings& settings, const LinkLimits& limits);
-    ~NodeLink() override;
+    NodeClient(io::Loop& loop, std::string director, const Settings& settings,
+               const NodeClientLimits& limits);
+    ~NodeClient() override;
     void attach(core::NodeEvents* events) { events_ = events; }
-    std::function<void(const std::string&)> on_remark;  // what an operator should know of a node
+    std::function<void(const std::string&)> on_warning;  // what an operator should know of a node
 
     // The nodes there are. Others are kept while attempts of ours may be there.
-    void know(const std::map<ServerId, io::Address>& listed);
+    void set_nodes(const std::map<ServerId, io::Address>& listed);
 
     void set_up(const core::SetUp& what) override;
     void set_rung(ServerId server, SessionId session, int attempt, int rung) override;
@@ -74,11 +76,11 @@
     void cancel(ServerId server, SessionId session, int attempt) override;
     void probe(ServerId server) override;
 
-    const LinkCounts& counts() const { return counts_; }
-    std::size_t connections() const { return client_.open(); }
-    std::map<StreamState, std::size_t> streams() const;
-    std::size_t attempts() const;  // in the accounts of all nodes
-    std::size_t doubtful() const;
+    const NodeClientCounts& counts() const { return counts_; }
+    std::size_t connection_count() const { return client_.open(); }
+    std::map<StreamState, std::size_t> count_streams() const;
+    std::size_t attempt_count() const;  // in the accounts of all nodes
+    std::size_t in_doubt_count() const;
 
     struct Node;
 
@@ -98,10 +100,10 @@
     io::Loop& loop_;
     std::string director_;
     Settings settings_;
-    LinkLimits limits_;
+    NodeClientLimits limits_;
     http::Client client_;
     core::NodeEvents* events_ = nullptr;
-    LinkCounts counts_;
+    NodeClientCounts counts_;
     std::map<ServerId, std::unique_ptr<Node>> nodes_;
     std::deque<ServerId> to_dial_;
     std::size_t dialling_ = 0;
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -10,9 +10,9 @@
 
 namespace ivyfield::nodes {
 
-using relay::Code;
+using relay::MessageType;
 using relay::NodeMessage;
-using relay::Type;
+using relay::ParameterCode;
 
 namespace {
 
@@ -89,7 +89,7 @@
     return it == nodes_.end() ? nullptr : it->second.get();
 }
 
-void RelayNodes::know(const std::map<ServerId, RelayNode>& nodes) {
+void RelayNodes::set_nodes(const std::map<ServerId, RelayNode>& nodes) {
     for (const auto& [id, known] : nodes) {
         auto& node = nodes_[id];
         if (!node) node = std::make_unique<Node>();
@@ -114,7 +114,7 @@
     }
 }
 
-void RelayNodes::adopt(ServerId server, SessionId session, int attempt) {
+void RelayNodes::adopt_session(ServerId server, SessionId session, int attempt) {
     Node* node = find(server);
     if (!node) {
         loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::reset, {}); });
@@ -141,7 +141,7 @@
     Connection* best = nullptr;
     for (const auto& c : node.connections) {
         if (!c->idle() || c->watching || (open_only && !c->up)) continue;
-        if (limits_.idle_close > 0 && loop_.now() - c->used > limits_.idle_close * kIdlePart) continue;
+        if (limits_.idle_timeout > 0 && loop_.now() - c->used > limits_.idle_timeout * kIdlePart) continue;
         if (!best || c->used > best->used) best = c.get();
     }
     return best;
@@ -196,7 +196,7 @@
 
 void RelayNodes::write(Connection& c, const NodeMessage& message) {
     c.used = loop_.now();
-    c.stream->write(relay::write_frame(message));
+    c.stream->write(relay::encode_frame(message));
 }
 // Of the connections that are up the one used last; none may be.
 RelayNodes::Connection* RelayNodes::usable(Node& node) {
@@ -210,10 +210,10 @@
 }
 // The end of a session that stands: with no connection to tell it on it is told on the next one, which
 // keep_up() dials. Untold, the session would play on for nobody.
-void RelayNodes::tell_end(Node& node, Type type, SessionId session) {
+void RelayNodes::tell_end(Node& node, MessageType type, SessionId session) {
     NodeMessage m;
     m.type = type, m.session = session;
-    if (type == Type::release) m.cause = relay::kCauseGivenUp;
+    if (type == MessageType::release) m.cause = relay::kCauseGivenUp;
     Connection* best = usable(node);
     if (!best) {
         if (node.owed.size() < kOwedEnds) node.owed.push_back(m);
@@ -249,7 +249,7 @@
     for (const SessionId id : waiting) write_set_up(c, id);
     if (c.testing) {
         NodeMessage m;
-        m.type = Type::ping, m.session = c.test, m.cause = relay::kCauseWithReport;
+        m.type = MessageType::ping, m.session = c.test, m.cause = relay::kPingWithReport;
         write(c, m);
     }
 }
@@ -261,16 +261,16 @@
     if (!c.node.listed || !c.node.known.ready || what.expires <= loop_.now())
         return set_up_over(c, session, Outcome::not_sent, {});
     NodeMessage m;
-    m.type = Type::setup;
+    m.type = MessageType::setup;
     m.session = what.session;
-    const auto put = [&](Code code, std::string text) {
+    const auto put = [&](ParameterCode code, std::string text) {
         m.parameters[static_cast<int>(code)] = std::move(text);
     };
-    put(Code::cls, what.ask.cls_name);
-    put(Code::title, what.ask.title_name);
-    put(Code::wait, std::to_string(std::max(1LL, std::llround(what.expires - loop_.now()))));
-    put(Code::rung, std::to_string(what.rung));
-    put(Code::sdp, what.ask.description);
+    put(ParameterCode::cls, what.ask.cls_name);
+    put(ParameterCode::title, what.ask.title_name);
+    put(ParameterCode::wait, std::to_string(std::max(1LL, std::llround(what.expires - loop_.now()))));
+    put(ParameterCode::rung, std::to_string(what.rung));
+    put(ParameterCode::sdp, what.ask.description);
     open.written = true;
     counts_.set_ups += 1;
     write(c, m);
@@ -297,7 +297,7 @@
     if (c.testing)
         test_over(c, came_up ? Outcome::reset : no_room ? Outcome::full : Outcome::not_connected, {});
     if (lost) {
-        counts_.vanished += !refused && !node.standing.empty();
+        counts_.unreachable += !refused && !node.standing.empty();
         lose_all(node, refused ? "refuses connections" : "no connection comes up");
     }
     keep_up(node);
@@ -342,14 +342,14 @@
 void RelayNodes::lose_all(Node& node, const char* why) {
     node.owed.clear();
     if (node.standing.empty()) return;
-    if (on_remark)
-        on_remark("node " + node.known.uid + " " + why + ": " + std::to_string(node.standing.size()) +
-                  " sessions are over");
+    if (on_warning)
+        on_warning("node " + node.known.uid + " " + why + ": " + std::to_string(node.standing.size()) +
+                   " sessions are over");
     const auto standing = std::move(node.standing);
     node.standing.clear();
     for (const auto& [session, one] : standing) {
         NodeMessage m;
-        m.type = Type::release, m.session = session, m.cause = relay::kCauseGivenUp;
+        m.type = MessageType::release, m.session = session, m.cause = relay::kCauseGivenUp;
         tell(node, m);
         events_->over(session, one.attempt, Outcome::reset, {});
     }
@@ -361,8 +361,8 @@
         std::size_t up = 0;
         for (const auto& c : node->connections) up += c->usable();
         for (const auto& c : node->connections) {
-            if (!c->idle() || !c->up || limits_.idle_close <= 0) continue;
-            if (loop_.now() - c->used <= limits_.idle_close * kIdlePart) continue;
+            if (!c->idle() || !c->up || limits_.idle_timeout <= 0) continue;
+            if (loop_.now() - c->used <= limits_.idle_timeout * kIdlePart) continue;
             if (up == 1 && !node->standing.empty()) continue;  // the one by which ends come
             up -= 1;
             old.push_back(c.get());
@@ -390,7 +390,7 @@
             loop_.post([this, what] { events_->over(what.session, what.attempt, Outcome::not_sent, {}); });
             return;
         }
-        counts_.shared += 1;
+        counts_.shared_connections += 1;
     }
     if (!c) c = &dial(*node);
     c->open[what.session] = {what, false};
@@ -399,7 +399,7 @@
 
 // Whether one more connection may be opened. An idle one of a node that can do without it makes room.
 bool RelayNodes::room() {
-    if (connections_ < limits_.connections) return true;
+    if (connections_ < limits_.max_connections) return true;
     Connection* oldest = nullptr;
     for (const auto& [id, node] : nodes_) {
         if (node->connections.size() == 1 && !node->standing.empty()) continue;
@@ -420,7 +420,7 @@
     });
 }
 
-bool RelayNodes::drained() const {
+bool RelayNodes::is_drained() const {
     for (const auto& [id, node] : nodes_) {
         if (!node->owed.empty()) return false;
         for (const auto& c : node->connections)
@@ -429,7 +429,7 @@
     return true;
 }
 
-void RelayNodes::end_all() {
+void RelayNodes::end_connections() {
     for (const auto& [id, node] : nodes_)
         for (const auto& c : node->connections)
             if (c->up) c->stream->end();
@@ -439,15 +439,15 @@
     Node* node = find(server);
     if (!node) return;
     NodeMessage m;
-    m.type = Type::rate, m.session = session;
-    m.parameters[static_cast<int>(Code::rung)] = std::to_string(rung);
+    m.type = MessageType::rate, m.session = session;
+    m.parameters[static_cast<int>(ParameterCode::rung)] = std::to_string(rung);
     tell(*node, m);
 }
 
 void RelayNodes::move(ServerId server, SessionId session, int attempt) {
     Node* node = find(server);
     if (!node || !node->standing.erase(session)) return;
-    tell_end(*node, Type::move, session);
+    tell_end(*node, MessageType::move, session);
     loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::cancelled, {}); });
     keep_up(*node);
 }
@@ -456,7 +456,7 @@
     Node* node = find(server);
     if (!node) return;
     NodeMessage m;
-    m.type = Type::release, m.session = session, m.cause = relay::kCauseGivenUp;
+    m.type = MessageType::release, m.session = session, m.cause = relay::kCauseGivenUp;
     for (const auto& c : node->connections) {
         const auto it = c->open.find(session);
         if (it == c->open.end() || it->second.what.attempt != attempt) continue;
@@ -470,7 +470,7 @@
         return;
     }
     if (!node->standing.erase(session)) return;
-    tell_end(*node, Type::release, session);
+    tell_end(*node, MessageType::release, session);
     loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::cancelled, {}); });
     keep_up(*node);
 }
@@ -491,7 +491,7 @@
     c->testing = true;
     c->test = ++last_test_;
     c->tested = loop_.now();
-    counts_.tests += 1;
+    counts_.probes += 1;
     c->test_timer = loop_.after(limits_.connect_timeout, [this, c] {
         Node& n = c->node;
         test_over(*c, Outcome::timed_out, {});
@@ -500,7 +500,7 @@
     });
     if (!up) return;
     NodeMessage m;
-    m.type = Type::ping, m.session = c->test, m.cause = relay::kCauseWithReport;
+    m.type = MessageType::ping, m.session = c->test, m.cause = relay::kPingWithReport;
     write(*c, m);
 }
 
@@ -515,14 +515,14 @@
 // ---- What nodes say ----
 
 LoadReport RelayNodes::report_of(const NodeMessage& message) const {
-    const std::string* text = message.find(Code::report);
+    const std::string* text = message.find(ParameterCode::report);
     if (!text) return {};
-    const auto pairs = relay::read_pairs(*text);
+    const auto pairs = relay::parse_pairs(*text);
     if (!pairs) return {};
     LoadReport report;
-    for (const std::string& field : limits_.report) {
+    for (const std::string& field : limits_.report_fields) {
         const auto it = pairs->find(field);
-        const auto value = it == pairs->end() ? std::nullopt : relay::read_number(it->second);
+        const auto value = it == pairs->end() ? std::nullopt : relay::parse_number(it->second);
         // A field that is missing is no zero.
         report.push_back(value ? static_cast<float>(*value) : std::numeric_limits<float>::quiet_NaN());
     }
@@ -541,9 +541,9 @@
     while (!c.gone && !bytes.empty()) {
         const auto result = c.decoder.next(bytes);
         if (!result) return;
-        if (const auto* fault = std::get_if<relay::Fault>(&*result)) {
-            counts_.spoilt += 1;
-            if (on_remark) on_remark("node " + c.node.known.uid + ": " + fault->why);
+        if (const auto* fault = std::get_if<relay::ParseError>(&*result)) {
+            counts_.malformed += 1;
+            if (on_warning) on_warning("node " + c.node.known.uid + ": " + fault->reason);
             return closed(c, true, io::Closing::reset);
         }
         take(c, std::get<NodeMessage>(*result));
@@ -561,9 +561,9 @@
 
 // The answer to a set-up that is open on the connection; false: it can't be used.
 bool RelayNodes::begins(Connection& c, const NodeMessage& m) {
-    const std::string* sdp = m.find(Code::sdp);
-    if (!sdp || !relay::utf8(*sdp)) {
-        counts_.spoilt += 1;
+    const std::string* sdp = m.find(ParameterCode::sdp);
+    if (!sdp || !relay::is_utf8(*sdp)) {
+        counts_.malformed += 1;
         closed(c, true, io::Closing::reset);
         return false;
     }
@@ -585,20 +585,20 @@
     const bool ours = open != c.open.end() && open->second.written;
     const auto standing = node.standing.find(m.session);
     switch (m.type) {
-        case Type::answer: {
+        case MessageType::answer: {
             if (!ours) {
-                counts_.stray += 1;
+                counts_.unexpected += 1;
                 return;
             }
             begins(c, m);
             return;
         }
-        case Type::release: {
+        case MessageType::release: {
             const int cause = m.cause.value_or(-1);
             const LoadReport report = report_of(m);
             // A session whose viewer wanted but a moment more has come to its end with its answer, in one
             // message: as a reset it blamed good nodes and was set up anew.
-            if (ours && cause == relay::kCauseGivenUp && m.find(Code::sdp)) {
+            if (ours && cause == relay::kCauseGivenUp && m.find(ParameterCode::sdp)) {
                 if (!begins(c, m)) return;
                 return stands_no_more(node, m.session, Outcome::ended, report);
             }
@@ -610,10 +610,10 @@
                 return set_up_over(c, m.session, outcome, report);
             }
             NodeMessage heard;
-            heard.type = Type::released, heard.session = m.session;
+            heard.type = MessageType::released, heard.session = m.session;
             write(c, heard);
             if (standing == node.standing.end()) {
-                counts_.stray += 1;
+                counts_.unexpected += 1;
                 return;
             }
             return stands_no_more(node, m.session,
@@ -622,20 +622,20 @@
                                                                     : Outcome::reset,
                                   report);
         }
-        case Type::pong: {
+        case MessageType::pong: {
             if (!c.testing || m.session != c.test) {
-                counts_.stray += 1;
+                counts_.unexpected += 1;
                 return;
             }
-            const bool passed = m.cause.value_or(relay::kCauseFailed) == relay::kCausePassed;
+            const bool passed = m.cause.value_or(relay::kPongFailed) == relay::kPongPassed;
             return test_over(c, passed ? Outcome::ended : Outcome::error, report_of(m));
         }
-        case Type::note: {
-            const std::string* what = m.find(Code::note);
-            const std::string* figure = m.find(Code::figure);
-            const auto value = figure ? relay::read_number(*figure) : std::nullopt;
+        case MessageType::note: {
+            const std::string* what = m.find(ParameterCode::note);
+            const std::string* figure = m.find(ParameterCode::note_value);
+            const auto value = figure ? relay::parse_number(*figure) : std::nullopt;
             if (!what || !value || standing == node.standing.end()) {
-                counts_.stray += 1;
+                counts_.unexpected += 1;
                 return;
             }
             const NoteKind kind = *what == "share"   ? NoteKind::delivered_share
@@ -645,11 +645,11 @@
                                                      : NoteKind::other;
             return events_->note(m.session, standing->second.attempt, node.id, kind, *value);
         }
-        case Type::progress:
-        case Type::released:
+        case MessageType::progress:
+        case MessageType::released:
             return;  // free, means nothing
         default:
-            counts_.stray += 1;
+            counts_.unexpected += 1;
             return;
     }
 }
--- a/src/nodes/relay/nodes.hpp
+++ b/src/nodes/relay/nodes.hpp
@@ -26,15 +26,15 @@
 namespace ivyfield::nodes {
 
 struct RelayLimits {
-    io::Time connect_timeout = 250;   // from the settings
-    io::Time idle_close = 15000;      // nodes close idle connections after this
-    std::size_t connections = 256;    // to all nodes together
-    std::vector<std::string> report;  // fields of a report, in the module's order
+    io::Time connect_timeout = 250;          // from the settings
+    io::Time idle_timeout = 15000;           // nodes close idle connections after this
+    std::size_t max_connections = 256;       // to all nodes together
+    std::vector<std::string> report_fields;  // fields of a report, in the module's order
 };
 
 struct RelayCounts {
-    std::uint64_t dials = 0, set_ups = 0, tests = 0, spoilt = 0, resets = 0, stray = 0, vanished = 0,
-                  shared = 0;
+    std::uint64_t dials = 0, set_ups = 0, probes = 0, malformed = 0, resets = 0, unexpected = 0,
+                  unreachable = 0, shared_connections = 0;
 };
 
 struct RelayNode {
@@ -49,9 +49,9 @@
     ~RelayNodes() override;
     void attach(core::NodeEvents* events) { events_ = events; }
     // The whole list. A node that is not on it any more is gone: its sessions end.
-    void know(const std::map<ServerId, RelayNode>& nodes);
+    void set_nodes(const std::map<ServerId, RelayNode>& nodes);
     // A session that stands there already.
-    void adopt(ServerId server, SessionId session, int attempt);
+    void adopt_session(ServerId server, SessionId session, int attempt);
 
     void set_up(const core::SetUp& what) override;
     void set_rung(ServerId server, SessionId session, int attempt, int rung) override;
@@ -61,12 +61,12 @@
     bool cancel_is_final() const override { return true; }
 
     // All that is written has left, and no node has yet to hear of an end.
-    bool drained() const;
+    bool is_drained() const;
     // Nothing more is said; what is written still leaves.
-    void end_all();
+    void end_connections();
     const RelayCounts& counts() const { return counts_; }
-    std::size_t connections() const { return connections_; }
-    std::function<void(const std::string&)> on_remark;
+    std::size_t connection_count() const { return connections_; }
+    std::function<void(const std::string&)> on_warning;
 
   private:
     struct Connection;
@@ -81,7 +81,7 @@
     void write(Connection& c, const relay::NodeMessage& message);
     Connection* usable(Node& node);
     void tell(Node& node, const relay::NodeMessage& message);
-    void tell_end(Node& node, relay::Type type, SessionId session);
+    void tell_end(Node& node, relay::MessageType type, SessionId session);
     void opened(Connection& c);
     void heard(Connection& c, std::string_view bytes);
     void take(Connection& c, const relay::NodeMessage& message);
--- a/src/relay/message.cpp
+++ b/src/relay/message.cpp
@@ -13,23 +13,23 @@
 namespace {
 
 struct TypeEntry {
-    Type type;
+    MessageType type;
     const char* word;
     std::uint8_t code;
 };
-constexpr std::array<TypeEntry, 10> kTypes{{{Type::setup, "setup", 1},
-                                            {Type::progress, "progress", 6},
-                                            {Type::answer, "answer", 9},
-                                            {Type::release, "release", 12},
-                                            {Type::released, "released", 16},
-                                            {Type::note, "note", 44},
-                                            {Type::move, "move", 51},
-                                            {Type::ping, "ping", 52},
-                                            {Type::pong, "pong", 53},
-                                            {Type::rate, "rate", 60}}};
+constexpr std::array<TypeEntry, 10> kTypes{{{MessageType::setup, "setup", 1},
+                                            {MessageType::progress, "progress", 6},
+                                            {MessageType::answer, "answer", 9},
+                                            {MessageType::release, "release", 12},
+                                            {MessageType::released, "released", 16},
+                                            {MessageType::note, "note", 44},
+                                            {MessageType::move, "move", 51},
+                                            {MessageType::ping, "ping", 52},
+                                            {MessageType::pong, "pong", 53},
+                                            {MessageType::rate, "rate", 60}}};
 constexpr std::size_t kHead = 3, kLeast = 9;  // length and type; type and session
 
-const TypeEntry& entry(Type type) {
+const TypeEntry& entry(MessageType type) {
     return *std::find_if(kTypes.begin(), kTypes.end(), [&](const auto& e) { return e.type == type; });
 }
 
@@ -53,22 +53,22 @@
     NodeMessage m;
     const auto code = static_cast<std::uint8_t>(body[0]);
     const auto it = std::find_if(kTypes.begin(), kTypes.end(), [&](const auto& e) { return e.code == code; });
-    if (it == kTypes.end()) return Fault{"unknown type " + std::to_string(code), ""};
+    if (it == kTypes.end()) return ParseError{"unknown type " + std::to_string(code), ""};
     m.type = it->type;
     for (std::size_t k = 1; k <= 8; ++k) m.session = m.session << 8 | static_cast<unsigned char>(body[k]);
     body.remove_prefix(kLeast);
     while (!body.empty()) {
-        if (body.size() < 3) return Fault{"a parameter is cut short", ""};
+        if (body.size() < 3) return ParseError{"a parameter is cut short", ""};
         const int parameter = static_cast<unsigned char>(body[0]);
         const std::size_t size = get16(body, 1);
         if (body.size() - 3 < size)
-            return Fault{"parameter " + std::to_string(parameter) + " is longer than its message", ""};
+            return ParseError{"parameter " + std::to_string(parameter) + " is longer than its message", ""};
         const std::string_view value = body.substr(3, size);
-        if (parameter == static_cast<int>(Code::cause)) {
-            if (size != 1) return Fault{"the cause is not one byte", ""};
+        if (parameter == static_cast<int>(ParameterCode::cause)) {
+            if (size != 1) return ParseError{"the cause is not one byte", ""};
             m.cause = static_cast<unsigned char>(value[0]);
         } else if (!m.parameters.emplace(parameter, value).second) {
-            return Fault{"parameter " + std::to_string(parameter) + " comes twice", ""};
+            return ParseError{"parameter " + std::to_string(parameter) + " comes twice", ""};
         }
         body.remove_prefix(3 + size);
     }
@@ -77,15 +77,15 @@
 
 }  // namespace
 
-const char* name(Type type) { return entry(type).word; }
+const char* name(MessageType type) { return entry(type).word; }
 
-std::string hex(SessionNumber number) {
+std::string to_hex(SessionNumber number) {
     static constexpr char digits[] = "0123456789abcdef";
     std::string out(16, '0');
     for (std::size_t k = 0; k < 16; ++k) out[15 - k] = digits[number >> (4 * k) & 15];
     return out;
 }
-std::optional<SessionNumber> read_hex(std::string_view text) {
+std::optional<SessionNumber> parse_hex(std::string_view text) {
     SessionNumber number = 0;
     if (text.size() != 16) return std::nullopt;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, 16);
@@ -93,43 +93,43 @@
     return number;
 }
 
-Line read_line(std::string_view text) {
+ParsedLine parse_line(std::string_view text) {
     const json doc = json::parse(text, nullptr, false);
-    if (doc.is_discarded() || !doc.is_object()) return Fault{"not a JSON object", ""};
+    if (doc.is_discarded() || !doc.is_object()) return ParseError{"not a JSON object", ""};
     ViewerMessage m;
     const auto id = doc.find("id");
-    if (id == doc.end() || !id->is_string()) return Fault{"no id", ""};
+    if (id == doc.end() || !id->is_string()) return ParseError{"no id", ""};
     m.id = id->get<std::string>();
-    const auto number = read_hex(m.id);
-    if (!number) return Fault{"id is not 16 hex digits", ""};
+    const auto number = parse_hex(m.id);
+    if (!number) return ParseError{"id is not 16 hex digits", ""};
     m.session = *number;
     const auto type = doc.find("type");
-    if (type == doc.end() || !type->is_string()) return Fault{"no type", m.id};
+    if (type == doc.end() || !type->is_string()) return ParseError{"no type", m.id};
     const auto word = type->get<std::string>();
     const auto it = std::find_if(kTypes.begin(), kTypes.end(), [&](const auto& e) { return e.word == word; });
-    if (it == kTypes.end()) return Fault{"unknown type", m.id};
+    if (it == kTypes.end()) return ParseError{"unknown type", m.id};
     m.type = it->type;
     if (const auto fields = doc.find("fields"); fields != doc.end()) {
-        if (!fields->is_object()) return Fault{"fields is not an object", m.id};
+        if (!fields->is_object()) return ParseError{"fields is not an object", m.id};
         for (const auto& [key, value] : fields->items()) {
             auto one = text_of(value);
-            if (!one) return Fault{"field " + key + " is neither text nor number", m.id};
+            if (!one) return ParseError{"field " + key + " is neither text nor number", m.id};
             m.fields.emplace(key, std::move(*one));
         }
     }
     if (const auto cause = doc.find("cause"); cause != doc.end()) {
         if (!cause->is_number_integer() || *cause < 0 || *cause > 255)
-            return Fault{"cause is not a number from 0 to 255", m.id};
+            return ParseError{"cause is not a number from 0 to 255", m.id};
         m.cause = cause->get<int>();
     }
     if (const auto sdp = doc.find("sdp"); sdp != doc.end()) {
-        if (!sdp->is_string()) return Fault{"sdp is not text", m.id};
+        if (!sdp->is_string()) return ParseError{"sdp is not text", m.id};
         m.sdp = sdp->get<std::string>();
     }
     return m;
 }
 
-std::string write_line(const ViewerMessage& m) {
+std::string encode_line(const ViewerMessage& m) {
     nlohmann::ordered_json doc;
     doc["type"] = name(m.type);
     doc["id"] = m.id;
@@ -144,7 +144,7 @@
     if (too_long_) return std::nullopt;
     const std::size_t end = bytes.find('\n');
     const std::size_t more = end == std::string_view::npos ? bytes.size() : end;
-    if (kept_.size() + more > kLargestMessage) {
+    if (kept_.size() + more > kMaxMessageSize) {
         too_long_ = true;
         kept_ = std::string();
         return std::nullopt;
@@ -155,7 +155,7 @@
     return std::exchange(kept_, std::string());
 }
 
-std::string write_frame(const NodeMessage& m) {
+std::string encode_frame(const NodeMessage& m) {
     std::string body;
     body.push_back(static_cast<char>(entry(m.type).code));
     for (int k = 7; k >= 0; --k) body.push_back(static_cast<char>(m.session >> (8 * k)));
@@ -165,7 +165,7 @@
         body += value;
     }
     if (m.cause) {
-        body.push_back(static_cast<char>(Code::cause));
+        body.push_back(static_cast<char>(ParameterCode::cause));
         put16(body, 1);
         body.push_back(static_cast<char>(*m.cause));
     }
@@ -183,14 +183,14 @@
     };
     if (!take(kHead - 1)) return std::nullopt;
     const std::size_t size = get16(kept_, 0);
-    if (size < kLeast || size + kHead - 1 > kLargestMessage)
-        return Fault{"a message of " + std::to_string(size) + " bytes", ""};
+    if (size < kLeast || size + kHead - 1 > kMaxMessageSize)
+        return ParseError{"a message of " + std::to_string(size) + " bytes", ""};
     if (!take(kHead - 1 + size)) return std::nullopt;
     const std::string whole = std::exchange(kept_, std::string());
     return read_frame(std::string_view(whole).substr(kHead - 1));
 }
 
-bool utf8(std::string_view text) {
+bool is_utf8(std::string_view text) {
     for (std::size_t k = 0; k < text.size();) {
         const auto at = [&](std::size_t i) { return static_cast<unsigned char>(text[i]); };
         const unsigned char first = at(k);
@@ -214,7 +214,7 @@
     return true;
 }
 
-std::optional<std::map<std::string, std::string>> read_pairs(std::string_view text) {
+std::optional<std::map<std::string, std::string>> parse_pairs(std::string_view text) {
     std::map<std::string, std::string> out;
     while (!text.empty()) {
         const std::size_t end = std::min(text.find(';'), text.size());
@@ -227,7 +227,7 @@
     return out;
 }
 
-std::optional<double> read_number(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
--- a/tests/nodes/link_test.cpp
+++ b/tests/nodes/client_test.cpp
@@ -1,7 +1,7 @@
 // Many nodes at once, on simulated time: all streams lost, a list that flaps, nodes that restart in a loop, a
 // director that stood still, a node of an earlier protocol. What it costs is counted in streams and accounts,
 // not in time.
-#include "nodes/link.hpp"
+#include "nodes/client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -42,7 +42,7 @@
     std::map<ServerId, io::Address> all;
     Settings settings;
     Heard heard;
-    std::unique_ptr<nodes::NodeLink> link;
+    std::unique_ptr<nodes::NodeClient> link;
     SessionId last = 0;
 
     void SetUp() override {
@@ -61,9 +61,9 @@
             nodes.back()->start(true);
             all[static_cast<ServerId>(k)] = nodes.back()->address();
         }
-        link = std::make_unique<nodes::NodeLink>(there, "d", settings, nodes::LinkLimits{});
+        link = std::make_unique<nodes::NodeClient>(there, "d", settings, nodes::NodeClientLimits{});
         link->attach(&heard);
-        link->know(all);
+        link->set_nodes(all);
         run(1000);
         for (int k = 0; k < kNodes; ++k)
             for (int n = 0; n < kEach; ++n) set_up(static_cast<ServerId>(k));
@@ -83,8 +83,8 @@
     }
     void run(double ms) { world.run_until(world.now() + ms); }
     std::size_t live() const {
-        const auto states = link->streams();
-        const auto it = states.find(nodes::StreamState::live);
+        const auto states = link->count_streams();
+        const auto it = states.find(nodes::StreamState::synced);
         return it == states.end() ? 0 : it->second;
     }
 };
@@ -99,30 +99,30 @@
     std::size_t most = 0;
     while (live() < std::size_t(kNodes) && world.now() < from + 20000) {
         run(1);
-        const auto states = link->streams();
-        const auto dialling = states.find(nodes::StreamState::dialling);
+        const auto states = link->count_streams();
+        const auto dialling = states.find(nodes::StreamState::connecting);
         if (dialling != states.end()) most = std::max(most, dialling->second);
     }
     RecordProperty("ms_until_right", std::to_string(world.now() - from));
     std::printf("right again after %.0f ms, %zu dialled at once at most, %llu accounts\n", world.now() - from,
-                most, static_cast<unsigned long long>(link->counts().accounts - before.accounts));
+                most, static_cast<unsigned long long>(link->counts().hellos - before.hellos));
     EXPECT_LE(most, 32u);
     EXPECT_LT(world.now() - from, 7000);
-    EXPECT_EQ(link->counts().whole_accounts, before.whole_accounts) << "taken up where they ended";
+    EXPECT_EQ(link->counts().full_snapshots, before.full_snapshots) << "taken up where they ended";
     EXPECT_EQ(heard.over_ + heard.lost_, 0);
-    EXPECT_EQ(link->attempts(), std::size_t(kNodes * kEach));
+    EXPECT_EQ(link->attempt_count(), std::size_t(kNodes * kEach));
 }
 TEST_F(ManyNodes, AListThatDropsAndReturnsATenthEachSecondChangesNothing) {
     const auto before = link->counts();
     for (int round = 0; round < 10; ++round) {
         auto some = all;
         for (int k = 0; k < 30; ++k) some.erase(static_cast<ServerId>(round * 30 + k));
-        link->know(some);
+        link->set_nodes(some);
         run(500);
-        link->know(all);
+        link->set_nodes(all);
         run(500);
     }
-    EXPECT_EQ(link->counts().accounts, before.accounts) << "streams are kept where sessions play";
+    EXPECT_EQ(link->counts().hellos, before.hellos) << "streams are kept where sessions play";
     EXPECT_EQ(heard.over_ + heard.lost_, 0);
     EXPECT_EQ(live(), std::size_t(kNodes));
 }
@@ -138,7 +138,7 @@
     }
     EXPECT_EQ(heard.over_, 10 * kEach + 4 * 10);
     EXPECT_EQ(heard.lost_, 0);
-    EXPECT_EQ(link->attempts(), std::size_t((kNodes - 10) * kEach + 10));
+    EXPECT_EQ(link->attempt_count(), std::size_t((kNodes - 10) * kEach + 10));
     EXPECT_EQ(live(), std::size_t(kNodes));
     EXPECT_GE(heard.lives, 50);
 }
@@ -155,12 +155,12 @@
     nodes[0]->hang(true);
     run(60000);
     EXPECT_EQ(heard.lost_, kEach);
-    EXPECT_EQ(link->doubtful(), std::size_t(kEach));
+    EXPECT_EQ(link->in_doubt_count(), std::size_t(kEach));
     EXPECT_EQ(heard.released_, 0);
     nodes[0]->hang(false);
     run(10000);
     EXPECT_EQ(heard.released_, kEach);
-    EXPECT_EQ(link->doubtful(), 0u);
+    EXPECT_EQ(link->in_doubt_count(), 0u);
     EXPECT_EQ(nodes[0]->sessions(), 0u) << "they are ended there: their viewers were told so";
 }
 TEST_F(ManyNodes, ANodeOfAnEarlierProtocolIsToldAndGetsNothing) {
@@ -172,9 +172,9 @@
         e->on_gone([] { streams.clear(); });
     });
     std::vector<std::string> remarks;
-    link->on_remark = [&](const std::string& text) { remarks.push_back(text); };
+    link->on_warning = [&](const std::string& text) { remarks.push_back(text); };
     all[9999] = {"127.0.0.1", 7000};
-    link->know(all);
+    link->set_nodes(all);
     run(30000);
     ASSERT_EQ(remarks.size(), 1u);
     EXPECT_NE(remarks[0].find("speaks protocol 1; 2 is needed"), std::string::npos);
@@ -182,7 +182,7 @@
     run(100);
     EXPECT_EQ(heard.outcomes[Outcome::not_sent], 1);
     all.erase(9999);
-    link->know(all);
+    link->set_nodes(all);
     run(100);
 }
 
--- a/tests/relay/codec_test.cpp
+++ b/tests/relay/codec_test.cpp
@@ -12,9 +12,9 @@
                      R"("sdp":"9d41\r\nc=IN IP4 10.4.7.9\r\n"})";
 
 TEST(RelayLine, ReadsASetUp) {
-    const auto line = read_line(kSetUp);
+    const auto line = parse_line(kSetUp);
     const auto& m = std::get<ViewerMessage>(line);
-    EXPECT_EQ(m.type, Type::setup);
+    EXPECT_EQ(m.type, MessageType::setup);
     EXPECT_EQ(m.session, 0x9b1f03aa5c7e2d41u);
     EXPECT_EQ(m.fields.at("class"), "paid");
     EXPECT_EQ(m.fields.at("left"), "1500");
@@ -23,10 +23,10 @@
 
 TEST(RelayLine, WhatIsWrittenIsReadAgain) {
     ViewerMessage m;
-    m.type = Type::release, m.id = "00000000000000ff", m.cause = 34, m.fields["wait"] = "20";
-    const std::string text = write_line(m);
+    m.type = MessageType::release, m.id = "00000000000000ff", m.cause = 34, m.fields["wait"] = "20";
+    const std::string text = encode_line(m);
     ASSERT_EQ(text.back(), '\n');
-    const auto line = read_line(std::string_view(text).substr(0, text.size() - 1));
+    const auto line = parse_line(std::string_view(text).substr(0, text.size() - 1));
     const auto& back = std::get<ViewerMessage>(line);
     EXPECT_EQ(back.cause, 34);
     EXPECT_EQ(back.session, 255u);
@@ -52,11 +52,11 @@
         {"{\"id\":\"9b1f03aa5c7e2d41\",\"type\":\"setup\",\"sdp\":1}", "sdp is not text"},
         {"{\"id\":\"9b1f03aa5c7e2d41\",\"type\":\"setup\",\"sdp\":\"\xff\"}", "not a JSON object"}};
     for (const auto& [text, why] : cases) {
-        const auto line = read_line(text);
-        ASSERT_TRUE(std::holds_alternative<Fault>(line)) << text;
-        EXPECT_EQ(std::get<Fault>(line).why, why) << text;
+        const auto line = parse_line(text);
+        ASSERT_TRUE(std::holds_alternative<ParseError>(line)) << text;
+        EXPECT_EQ(std::get<ParseError>(line).reason, why) << text;
     }
-    EXPECT_TRUE(std::holds_alternative<Fault>(read_line(std::string(kLargestMessage, '['))));
+    EXPECT_TRUE(std::holds_alternative<ParseError>(parse_line(std::string(kMaxMessageSize, '['))));
 }
 
 TEST(RelayLine, ComesInAnyCut) {
@@ -71,36 +71,36 @@
             }
         }
         EXPECT_EQ(lines, 2) << cut;
-        EXPECT_FALSE(decoder.partial());
+        EXPECT_FALSE(decoder.has_partial());
     }
 }
 
 TEST(RelayLine, NothingLongerThanAMessageIsKept) {
     LineDecoder decoder;
     const std::string piece(1000, 'x');
-    for (int k = 0; k < 100 && !decoder.too_long(); ++k) {
+    for (int k = 0; k < 100 && !decoder.is_too_long(); ++k) {
         std::string_view bytes = piece;
         EXPECT_FALSE(decoder.next(bytes));
     }
-    EXPECT_TRUE(decoder.too_long());
-    EXPECT_FALSE(decoder.partial());
+    EXPECT_TRUE(decoder.is_too_long());
+    EXPECT_FALSE(decoder.has_partial());
 }
 
 NodeMessage set_up() {
     NodeMessage m;
-    m.type = Type::setup, m.session = 0x9b1f03aa5c7e2d41u;
+    m.type = MessageType::setup, m.session = 0x9b1f03aa5c7e2d41u;
     m.parameters = {{33, "paid"}, {35, "1500"}, {41, "7f3a9c21e0b4d655"}, {55, "2"}, {63, "v=0\r\n"}};
     return m;
 }
 
 TEST(RelayFrame, IsLaidOutAsWrittenDown) {
     NodeMessage m;
-    m.type = Type::release, m.session = 0x0102030405060708u, m.cause = 34;
-    EXPECT_EQ(write_frame(m), std::string("\0\x0d\x0c\1\2\3\4\5\6\7\x08\x3d\0\1\x22", 15));
+    m.type = MessageType::release, m.session = 0x0102030405060708u, m.cause = 34;
+    EXPECT_EQ(encode_frame(m), std::string("\0\x0d\x0c\1\2\3\4\5\6\7\x08\x3d\0\1\x22", 15));
 }
 
 TEST(RelayFrame, ComesInAnyCut) {
-    const std::string all = write_frame(set_up()) + write_frame(set_up());
+    const std::string all = encode_frame(set_up()) + encode_frame(set_up());
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
         FrameDecoder decoder;
         int messages = 0;
@@ -111,7 +111,7 @@
                 if (!result) continue;
                 const auto& m = std::get<NodeMessage>(*result);
                 EXPECT_EQ(m.session, 0x9b1f03aa5c7e2d41u);
-                EXPECT_EQ(*m.find(Code::sdp), "v=0\r\n");
+                EXPECT_EQ(*m.find(ParameterCode::sdp), "v=0\r\n");
                 messages += 1;
             }
         }
@@ -124,7 +124,8 @@
         FrameDecoder decoder;
         std::string_view bytes = text;
         const auto result = decoder.next(bytes);
-        return result && std::holds_alternative<Fault>(*result) ? std::get<Fault>(*result).why : "";
+        return result && std::holds_alternative<ParseError>(*result) ? std::get<ParseError>(*result).reason
+                                                                     : "";
     };
     const std::string head("\1\0\0\0\0\0\0\0\7", 9);
     const auto frame = [&](const std::string& parameters) {
@@ -147,7 +148,7 @@
     std::mt19937 random(7);
     const auto draw = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
     for (int k = 0; k < 20000; ++k) {
-        std::string frame = write_frame(set_up()), line = std::string(kSetUp) + "\n";
+        std::string frame = encode_frame(set_up()), line = std::string(kSetUp) + "\n";
         for (std::string* text : {&frame, &line})
             for (std::size_t n = 1 + draw(4); n > 0; --n) {
                 const std::size_t at = draw(text->size());
@@ -159,38 +160,38 @@
         std::string_view bytes = frame;
         while (!bytes.empty()) {
             const auto result = frames.next(bytes);
-            if (result && std::holds_alternative<Fault>(*result)) break;
+            if (result && std::holds_alternative<ParseError>(*result)) break;
         }
-        const auto read = read_line(line);
+        const auto read = parse_line(line);
         if (const auto* m = std::get_if<ViewerMessage>(&read)) {
-            EXPECT_TRUE(!m->sdp || utf8(*m->sdp));
-            EXPECT_FALSE(write_line(*m).empty());
+            EXPECT_TRUE(!m->sdp || is_utf8(*m->sdp));
+            EXPECT_FALSE(encode_line(*m).empty());
         }
     }
 }
 
 TEST(RelayText, Utf8IsWhatJsonCarries) {
     for (const char* good : {"", "a", "\xc3\xa9", "\xe2\x82\xac", "\xf0\x9f\x98\x80", "\xef\xbf\xbf"}) {
-        EXPECT_TRUE(utf8(good)) << good;
+        EXPECT_TRUE(is_utf8(good)) << good;
         ViewerMessage m;
         m.id = "0000000000000001", m.sdp = good;
-        EXPECT_NO_THROW(write_line(m));
+        EXPECT_NO_THROW(encode_line(m));
     }
     for (const char* bad :
          {"\xff", "\xc3", "\xc0\x80", "\xe2\x82", "\xed\xa0\x80", "\xf4\x90\x80\x80", "a\x80"})
-        EXPECT_FALSE(utf8(bad));
+        EXPECT_FALSE(is_utf8(bad));
 }
 
 TEST(RelayText, PairsAndNumbers) {
-    const auto pairs = read_pairs("x0:12;x1:40;queue:3");
+    const auto pairs = parse_pairs("x0:12;x1:40;queue:3");
     ASSERT_TRUE(pairs);
     EXPECT_EQ(pairs->at("x1"), "40");
-    EXPECT_FALSE(read_pairs("x0:12;;"));
-    EXPECT_FALSE(read_pairs("x0"));
-    EXPECT_FALSE(read_pairs("x0:1;x0:2"));
-    EXPECT_EQ(read_number("-2.5"), -2.5);
+    EXPECT_FALSE(parse_pairs("x0:12;;"));
+    EXPECT_FALSE(parse_pairs("x0"));
+    EXPECT_FALSE(parse_pairs("x0:1;x0:2"));
+    EXPECT_EQ(parse_number("-2.5"), -2.5);
     for (const char* bad : {"", "x", "1x", "nan", "inf", "1e999", " 1"})
-        EXPECT_FALSE(read_number(bad)) << bad;
+        EXPECT_FALSE(parse_number(bad)) << bad;
 }
 
 }  // namespace
--- a/tests/relay/process.hpp
+++ b/tests/relay/process.hpp
@@ -78,11 +78,11 @@
         }
     }
     void say(const std::string& line) { write(line + "\n"); }
-    void send(Type type, std::uint64_t session, int cause = -1, std::map<int, std::string> with = {}) {
+    void send(MessageType type, std::uint64_t session, int cause = -1, std::map<int, std::string> with = {}) {
         NodeMessage m;
         m.type = type, m.session = session, m.parameters = std::move(with);
         if (cause >= 0) m.cause = cause;
-        write(relay::write_frame(m));
+        write(relay::encode_frame(m));
     }
     // Takes what has come without waiting; false: nothing had.
     bool take() {
@@ -99,7 +99,7 @@
         const auto text = lines_.next(bytes);
         kept_.erase(0, kept_.size() - bytes.size());
         if (!text) return std::nullopt;
-        const auto read = relay::read_line(*text);
+        const auto read = relay::parse_line(*text);
         EXPECT_TRUE(std::holds_alternative<ViewerMessage>(read)) << *text;
         return std::get<ViewerMessage>(read);
     }
@@ -290,7 +290,7 @@
         return m.value_or(NodeMessage{});
     }
     // The next message of that type; the others on the way are left out.
-    NodeMessage frame(Wire& w, Type type) {
+    NodeMessage frame(Wire& w, MessageType type) {
         NodeMessage m;
         do m = frame(w);
         while (m.type != type && !::testing::Test::HasFailure());
@@ -303,7 +303,7 @@
     // A test answered: all that came before on the connection has been read.
     void barrier(Wire& w) {
         w.say(R"({"type":"ping","id":"00000000000000ff","fields":{},"cause":0})");
-        EXPECT_EQ(line(w).type, Type::pong);
+        EXPECT_EQ(line(w).type, MessageType::pong);
     }
 
     // The log's next line of that event.
--- a/tests/relay/process_test.cpp
+++ b/tests/relay/process_test.cpp
@@ -8,18 +8,18 @@
 constexpr int kGivenUp = relay::kCauseGivenUp, kFull = relay::kCauseFull;
 
 bool refused(const ViewerMessage& m) {
-    return m.type == Type::release && (m.cause == 34 || m.cause == 42 || m.cause == 102);
+    return m.type == MessageType::release && (m.cause == 34 || m.cause == 42 || m.cause == 102);
 }
-bool failed(const ViewerMessage& m) { return m.type == Type::release && !refused(m); }
+bool failed(const ViewerMessage& m) { return m.type == MessageType::release && !refused(m); }
 
 // Plays one session to the point where it stands; its node connection.
 Wire stands(Stage& stage, Wire& viewer, std::uint64_t id, const std::string& cls = "free one") {
     viewer.say(setup_line(id, cls));
     Wire node = stage.accept();
-    EXPECT_EQ(stage.frame(node, Type::setup).session, id);
-    node.send(Type::answer, id, -1, {{63, "it plays"}});
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, id);
+    node.send(MessageType::answer, id, -1, {{63, "it plays"}});
     const ViewerMessage m = stage.line(viewer);
-    EXPECT_EQ(m.type, Type::answer);
+    EXPECT_EQ(m.type, MessageType::answer);
     EXPECT_EQ(m.sdp, "it plays");
     return node;
 }
@@ -41,8 +41,9 @@
     stage.go_on();
     Wire one = stage.accept(), two = stage.accept();
     for (Wire* node : {&one, &two})
-        node->send(Type::answer, stage.frame(*node, Type::setup).session, -1, {{63, "it plays"}});
-    for (Wire* viewer : {&taken, &queued}) EXPECT_EQ(stage.line(*viewer).type, Type::answer);
+        node->send(MessageType::answer, stage.frame(*node, MessageType::setup).session, -1,
+                   {{63, "it plays"}});
+    for (Wire* viewer : {&taken, &queued}) EXPECT_EQ(stage.line(*viewer).type, MessageType::answer);
     EXPECT_EQ(stage.exit_code(), 0);
     for (Wire* viewer : {&taken, &queued}) EXPECT_EQ(stage.end_of(*viewer), Wire::End::clean);
 }
@@ -80,11 +81,11 @@
     Wire viewer = stage.viewer();
     viewer.say(setup_line(1, "paid", 5000));
     Wire node = stage.accept();
-    EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, 1u);
     const double asked = clock_ms();
     stage.signal(SIGTERM);
     EXPECT_TRUE(failed(stage.line(viewer))) << "it may have run";
-    EXPECT_EQ(stage.frame(node, Type::release).cause, kGivenUp);
+    EXPECT_EQ(stage.frame(node, MessageType::release).cause, kGivenUp);
     EXPECT_EQ(stage.exit_code(), 0);
     EXPECT_LT(clock_ms() - asked, 3700);
     EXPECT_GT(clock_ms() - asked, 3400) << "all the time there is was its node's";
@@ -118,10 +119,11 @@
         if (::poll(&waits, 1, 0) == 1) links.push_back(stage.accept());
         for (Wire& link : links)
             for (link.take(); const auto m = link.frame();)
-                if (m->type == Type::setup) link.send(Type::answer, m->session, -1, {{63, "it plays"}});
+                if (m->type == MessageType::setup)
+                    link.send(MessageType::answer, m->session, -1, {{63, "it plays"}});
         for (viewer.take(); const auto m = viewer.line();) {
             EXPECT_EQ(owed.erase(m->session), 1u) << "answered twice";
-            EXPECT_TRUE(m->type == Type::answer || m->type == Type::release);
+            EXPECT_TRUE(m->type == MessageType::answer || m->type == MessageType::release);
         }
         return owed.empty();
     })) << owed.size()
@@ -207,18 +209,19 @@
     Wire viewer = stage.viewer();
     viewer.say(setup_line(1, "paid"));
     Wire node = stage.accept();
-    EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, 1u);
     stage.stop();
     viewer.say(release_line(1, kGivenUp));
-    node.send(Type::answer, 1, -1, {{63, "it plays"}});
+    node.send(MessageType::answer, 1, -1, {{63, "it plays"}});
     stage.go_on();
-    EXPECT_EQ(stage.frame(node, Type::release).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::release).session, 1u);
     viewer.say(R"({"type":"ping","id":"00000000000000ff","fields":{},"cause":0})");
-    std::vector<Type> told;
-    while (told.empty() || (told.back() != Type::pong && told.size() < 4))
+    std::vector<MessageType> told;
+    while (told.empty() || (told.back() != MessageType::pong && told.size() < 4))
         told.push_back(stage.line(viewer).type);
-    EXPECT_TRUE(told == std::vector<Type>{Type::pong} ||
-                told == (std::vector<Type>{Type::answer, Type::released, Type::pong}))
+    EXPECT_TRUE(told == std::vector<MessageType>{MessageType::pong} ||
+                told ==
+                    (std::vector<MessageType>{MessageType::answer, MessageType::released, MessageType::pong}))
         << told.size();
 }
 
@@ -247,8 +250,8 @@
         if (::poll(&waits, 1, 0) == 1) links.push_back(stage.accept());
         for (Wire& link : links)
             for (link.take(); const auto m = link.frame();) {
-                if (m->type == Type::setup) open.insert(m->session);
-                if (m->type == Type::release) open.erase(m->session);
+                if (m->type == MessageType::setup) open.insert(m->session);
+                if (m->type == MessageType::release) open.erase(m->session);
             }
         return open == std::set<std::uint64_t>{4};
     }));
@@ -269,7 +272,7 @@
     Wire node = stage.accept();
     stage.stop();
     viewer.close();
-    node.send(Type::release, 1, kFull);  // of a set-up that may be on its way: a retry would be due
+    node.send(MessageType::release, 1, kFull);  // of a set-up that may be on its way: a retry would be due
     stage.go_on();
     Wire other = stage.viewer();
     const double late = clock_ms() + 300;  // 0.1 s and more
@@ -277,7 +280,7 @@
     stage.barrier(other);
     stage.stop();
     std::size_t set_ups = 0;
-    for (node.take(); const auto m = node.frame();) set_ups += m->type == Type::setup;
+    for (node.take(); const auto m = node.frame();) set_ups += m->type == MessageType::setup;
     EXPECT_LE(set_ups, 1u) << "a second attempt for nobody";
     pollfd waits{stage.node_fd(0), POLLIN, 0};
     EXPECT_EQ(::poll(&waits, 1, 0), 0) << "another connection for nobody";
@@ -293,7 +296,7 @@
     viewer.say(setup_line(1, "paid"));
     viewer.say(setup_line(2, "paid"));
     Wire one = stage.accept(), two = stage.accept();
-    if (stage.frame(one, Type::setup).session != 1) std::swap(one, two);
+    if (stage.frame(one, MessageType::setup).session != 1) std::swap(one, two);
     for (int k = 0; k < 50; ++k) viewer.say(setup_line(1, "paid", 3000));
     viewer.say(setup_line(3, "paid", 3000));
     for (int k = 0; k < 52; ++k) {
@@ -301,11 +304,11 @@
         EXPECT_EQ(m.session, k < 51 ? 1u : 3u);
         EXPECT_TRUE(failed(m)) << "each of them is told, and none is served";
     }
-    EXPECT_EQ(stage.frame(one, Type::release).session, 1u) << "its node is told";
-    two.send(Type::answer, 2, -1, {{63, "it plays"}});
+    EXPECT_EQ(stage.frame(one, MessageType::release).session, 1u) << "its node is told";
+    two.send(MessageType::answer, 2, -1, {{63, "it plays"}});
     const ViewerMessage other = stage.line(viewer);
     EXPECT_EQ(other.session, 2u);
-    EXPECT_EQ(other.type, Type::answer);
+    EXPECT_EQ(other.type, MessageType::answer);
     EXPECT_EQ(stage.end_of(viewer), Wire::End::clean);
     stage.stop();
     pollfd waits{stage.node_fd(0), POLLIN, 0};
@@ -321,14 +324,14 @@
     Wire node = stands(stage, viewer, 1);
     stage.stop();
     viewer.close();
-    node.send(Type::release, 1, kGivenUp);
+    node.send(MessageType::release, 1, kGivenUp);
     stage.go_on();
-    EXPECT_EQ(stage.frame(node, Type::released).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::released).session, 1u);
     Wire next = stage.viewer();
     next.say(setup_line(2, "free one"));
     const ViewerMessage told = stage.line(next);
     EXPECT_EQ(told.session, 1u);
-    EXPECT_EQ(told.type, Type::release);
+    EXPECT_EQ(told.type, MessageType::release);
 }
 
 // ---- Media nodes ----
@@ -340,10 +343,10 @@
     Wire viewer = stage.viewer();
     viewer.say(setup_line(1, "paid"));
     Wire node = stage.accept();
-    EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, 1u);
     NodeMessage answer;
-    answer.type = Type::answer, answer.session = 1, answer.parameters = {{63, "it plays"}};
-    const std::string bytes = relay::write_frame(answer);
+    answer.type = MessageType::answer, answer.session = 1, answer.parameters = {{63, "it plays"}};
+    const std::string bytes = relay::encode_frame(answer);
     stage.stop();
     node.write(std::string_view(bytes).substr(0, bytes.size() / 2));
     node.reset();
@@ -360,12 +363,12 @@
     Wire viewer = stage.viewer();
     viewer.say(setup_line(1, "paid"));
     Wire node = stage.accept();
-    EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, 1u);
     stage.stop();
-    node.send(Type::answer, 1, -1, {{63, "it plays"}});
+    node.send(MessageType::answer, 1, -1, {{63, "it plays"}});
     node.close();
     stage.go_on();
-    EXPECT_EQ(stage.line(viewer).type, Type::answer) << "it was there whole before the end";
+    EXPECT_EQ(stage.line(viewer).type, MessageType::answer) << "it was there whole before the end";
     stage.barrier(viewer);
 }
 
@@ -377,17 +380,17 @@
     Wire viewer = stage.viewer();
     viewer.say(setup_line(1, "paid", 300));
     Wire node = stage.accept();
-    EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, 1u);
     stage.stop();
     const double late = clock_ms() + 400;
     stage.await([&] { return clock_ms() > late; });
-    node.send(Type::answer, 1, -1, {{63, "it plays"}});
+    node.send(MessageType::answer, 1, -1, {{63, "it plays"}});
     stage.go_on();
     const ViewerMessage m = stage.line(viewer);
     if (failed(m)) {
-        EXPECT_EQ(stage.frame(node, Type::release).session, 1u);
+        EXPECT_EQ(stage.frame(node, MessageType::release).session, 1u);
     } else {
-        EXPECT_EQ(m.type, Type::answer);
+        EXPECT_EQ(m.type, MessageType::answer);
     }
     stage.barrier(viewer);
 }
@@ -428,8 +431,9 @@
         if (::poll(&waits, 1, 0) == 1) links.push_back(stage.accept());
         for (Wire& link : links)
             for (link.take(); const auto m = link.frame();) {
-                set_ups += m->type == Type::setup;
-                if (m->type == Type::setup) link.send(Type::answer, m->session, -1, {{63, "it plays"}});
+                set_ups += m->type == MessageType::setup;
+                if (m->type == MessageType::setup)
+                    link.send(MessageType::answer, m->session, -1, {{63, "it plays"}});
             }
         viewer.take();
         answer = viewer.line();
@@ -448,20 +452,20 @@
     Wire viewer = stage.viewer();
     Wire node = stands(stage, viewer, 1);
     viewer.say(setup_line(2, "paid"));
-    EXPECT_EQ(stage.frame(node, Type::setup).session, 2u);
+    EXPECT_EQ(stage.frame(node, MessageType::setup).session, 2u);
     stage.stop();
     stage.listed[0].uid = "s-new";
     stage.serial += 1;
-    node.send(Type::answer, 2, -1, {{63, "it plays"}});
+    node.send(MessageType::answer, 2, -1, {{63, "it plays"}});
     node.close();
     stage.go_on();
-    std::map<std::uint64_t, std::vector<Type>> told;
+    std::map<std::uint64_t, std::vector<MessageType>> told;
     EXPECT_TRUE(stage.await([&] {
         for (viewer.take(); const auto m = viewer.line();) told[m->session].push_back(m->type);
         return !told[1].empty() && told[2].size() >= 2;
     }));
-    EXPECT_EQ(told[1], (std::vector<Type>{Type::release})) << "gone with its node";
-    EXPECT_EQ(told[2], (std::vector<Type>{Type::answer, Type::release}));
+    EXPECT_EQ(told[1], (std::vector<MessageType>{MessageType::release})) << "gone with its node";
+    EXPECT_EQ(told[2], (std::vector<MessageType>{MessageType::answer, MessageType::release}));
     // What comes next goes to the new one at the same address.
     viewer.say(setup_line(3, "paid"));
     std::list<Wire> links;
@@ -470,7 +474,7 @@
         if (::poll(&waits, 1, 0) == 1) links.push_back(stage.accept());
         for (Wire& link : links)
             for (link.take(); const auto m = link.frame();)
-                if (m->type == Type::setup && m->session == 3) return true;
+                if (m->type == MessageType::setup && m->session == 3) return true;
         return false;
     }));
 }
@@ -515,9 +519,9 @@
         stage.await([&] { return clock_ms() > late; });
         stage.go_on();
         Wire node = stage.accept();
-        EXPECT_EQ(stage.frame(node, Type::setup).session, 1u);
-        node.send(Type::answer, 1, -1, {{63, "it plays"}});
-        EXPECT_EQ(stage.line(oldest).type, Type::answer);
+        EXPECT_EQ(stage.frame(node, MessageType::setup).session, 1u);
+        node.send(MessageType::answer, 1, -1, {{63, "it plays"}});
+        EXPECT_EQ(stage.line(oldest).type, MessageType::answer);
     }
 }
 
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -13,24 +13,24 @@
     v.say(R"({"type":"ping","id":"0000000000000001","fields":{},"cause":0})");
     v.say(setup_line(0xabc, "paid"));
     rig.run(200);
-    ASSERT_EQ(v.of(Type::pong).size(), 1u);
-    EXPECT_EQ(v.of(Type::pong)[0].cause, 1);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
-    EXPECT_EQ(v.of(Type::answer)[0].id, "0000000000000abc");
-    EXPECT_EQ(*v.of(Type::answer)[0].sdp, "answer to offer 0000000000000abc");
-    const auto sent = rig.nodes[0]->of(Type::setup);
+    ASSERT_EQ(v.of(MessageType::pong).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::pong)[0].cause, 1);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::answer)[0].id, "0000000000000abc");
+    EXPECT_EQ(*v.of(MessageType::answer)[0].sdp, "answer to offer 0000000000000abc");
+    const auto sent = rig.nodes[0]->of(MessageType::setup);
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].session, 0xabcu);
-    EXPECT_EQ(*sent[0].find(Code::cls), "paid");
-    EXPECT_EQ(*sent[0].find(Code::title), "7f3a9c21e0b4d655");
-    EXPECT_EQ(*sent[0].find(Code::sdp), "offer 0000000000000abc");
-    ASSERT_TRUE(sent[0].find(Code::rung));
-    EXPECT_LE(std::stoi(*sent[0].find(Code::wait)), 4000);
+    EXPECT_EQ(*sent[0].find(ParameterCode::cls), "paid");
+    EXPECT_EQ(*sent[0].find(ParameterCode::title), "7f3a9c21e0b4d655");
+    EXPECT_EQ(*sent[0].find(ParameterCode::sdp), "offer 0000000000000abc");
+    ASSERT_TRUE(sent[0].find(ParameterCode::rung));
+    EXPECT_LE(std::stoi(*sent[0].find(ParameterCode::wait)), 4000);
     // Its end reaches the viewer, once.
-    rig.nodes[0]->links.back().send(Type::release, 0xabc, 16);
-    rig.nodes[0]->links.back().send(Type::release, 0xabc, 16);
+    rig.nodes[0]->links.back().send(MessageType::release, 0xabc, 16);
+    rig.nodes[0]->links.back().send(MessageType::release, 0xabc, 16);
     rig.run(200);
-    ASSERT_EQ(v.of(Type::release).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::release).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
 }
 
@@ -38,7 +38,7 @@
     Rig rig;
     rig.viewer().say(setup_line(1, "paid"));
     rig.run(200);
-    const auto tests = rig.nodes[0]->of(Type::ping);
+    const auto tests = rig.nodes[0]->of(MessageType::ping);
     ASSERT_FALSE(tests.empty());
     EXPECT_EQ(tests[0].cause, 1);
 }
@@ -53,17 +53,17 @@
     rig.run(300);
     EXPECT_EQ(rig.director->engine().playing(), 1u);
     // A node that is not listed, and a wait without bound for one that does not play, are turned away.
-    ASSERT_EQ(v.of(Type::release).size(), 2u);
+    ASSERT_EQ(v.of(MessageType::release).size(), 2u);
     EXPECT_GE(rig.nodes[0]->open_links(), 1u) << "where sessions stand a connection is kept";
-    rig.nodes[0]->links.back().send(Type::release, 5, 41);
+    rig.nodes[0]->links.back().send(MessageType::release, 5, 41);
     rig.run(300);
-    EXPECT_EQ(v.of(Type::release).size(), 3u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 3u);
 }
 
 TEST(Relay, AViewerGivesUpAndEndsSessions) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
@@ -75,20 +75,20 @@
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
     // One that stands, from another connection.
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "x"}});
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::setup) link.send(MessageType::answer, m.session, -1, {{63, "x"}});
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     v.say(setup_line(2, "free one"));
     rig.run(200);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     Viewer& other = rig.viewer();
     other.say(release_line(2, 31));
     rig.run(200);
-    EXPECT_EQ(other.of(Type::released).size(), 1u);
-    EXPECT_EQ(v.of(Type::release).size(), 0u);
+    EXPECT_EQ(other.of(MessageType::released).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 0u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
-    ASSERT_FALSE(rig.nodes[0]->of(Type::release).empty());
-    EXPECT_EQ(rig.nodes[0]->of(Type::release).back().session, 2u);
+    ASSERT_FALSE(rig.nodes[0]->of(MessageType::release).empty());
+    EXPECT_EQ(rig.nodes[0]->of(MessageType::release).back().session, 2u);
 }
 
 TEST(Relay, AViewerThatClosesIsOwedNothing) {
@@ -106,7 +106,7 @@
 TEST(Relay, ARepeatedNumberDisturbsNeitherAnswer) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     Viewer &v = rig.viewer(), &other = rig.viewer();
     v.say(setup_line(1, "paid"));
@@ -114,13 +114,13 @@
     other.say(setup_line(1, "paid"));
     other.say(release_line(1, 16));
     rig.run(100);
-    EXPECT_EQ(other.of(Type::answer).size(), 0u);
-    EXPECT_EQ(other.of(Type::release).size(), 1u);
+    EXPECT_EQ(other.of(MessageType::answer).size(), 0u);
+    EXPECT_EQ(other.of(MessageType::release).size(), 1u);
     EXPECT_FALSE(other.open) << "it would give up what is another's";
     EXPECT_EQ(rig.director->front().open(), 1u);
-    rig.nodes[0]->links.front().send(Type::answer, 1, -1, {{63, "y"}});
+    rig.nodes[0]->links.front().send(MessageType::answer, 1, -1, {{63, "y"}});
     rig.run(100);
-    EXPECT_EQ(v.of(Type::answer).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::answer).size(), 1u);
 }
 
 TEST(Relay, BadSetUpsAreTurnedAwayAtOnce) {
@@ -144,7 +144,7 @@
         v.say(line);
         rig.run(50);
         ASSERT_EQ(v.heard.size(), 1u) << line;
-        EXPECT_EQ(v.heard[0].type, Type::release) << line;
+        EXPECT_EQ(v.heard[0].type, MessageType::release) << line;
         EXPECT_NE(v.heard[0].cause, 34) << line;
     }
     for (const std::string& line : {std::string("noise"), std::string("{}"), std::string("\xff\xfe"),
@@ -154,7 +154,7 @@
         rig.run(100);
         EXPECT_FALSE(v.open) << line.substr(0, 20);
     }
-    EXPECT_TRUE(rig.nodes[0]->of(Type::setup).empty());
+    EXPECT_TRUE(rig.nodes[0]->of(MessageType::setup).empty());
     EXPECT_EQ(rig.director->engine().counts().taken, 0u);
 }
 
@@ -166,7 +166,7 @@
     v.say(setup_line(1, "paid"));
     for (int k = 0; k < 50; ++k) rig.viewer();
     rig.run(300);
-    EXPECT_EQ(v.of(Type::answer).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::answer).size(), 1u);
     EXPECT_LE(rig.director->front().connections(), 64u * 2 / 5);
 }
 
@@ -178,8 +178,8 @@
         Rig rig;
         std::vector<std::pair<Node::Link*, std::uint64_t>> waiting;
         rig.nodes[0]->react = [&](auto& link, const auto& m) {
-            if (m.type == Type::ping) return link.send(Type::pong, m.session, 1);
-            if (m.type == Type::setup) waiting.emplace_back(&link, m.session);
+            if (m.type == MessageType::ping) return link.send(MessageType::pong, m.session, 1);
+            if (m.type == MessageType::setup) waiting.emplace_back(&link, m.session);
         };
         Viewer& v = rig.viewer();
         v.say(setup_line(1, "paid"));
@@ -191,59 +191,59 @@
         waiting[0].first->stream->write(bytes);
         rig.run(100);
         // It might have run: not refused, not sent again.
-        ASSERT_EQ(v.of(Type::release).size(), 1u);
-        EXPECT_EQ(v.of(Type::release)[0].session, 1u);
-        EXPECT_EQ(v.of(Type::release)[0].cause, 47);
-        waiting[1].first->send(Type::answer, 2, -1, {{63, "x"}});
+        ASSERT_EQ(v.of(MessageType::release).size(), 1u);
+        EXPECT_EQ(v.of(MessageType::release)[0].session, 1u);
+        EXPECT_EQ(v.of(MessageType::release)[0].cause, 47);
+        waiting[1].first->send(MessageType::answer, 2, -1, {{63, "x"}});
         rig.run(1000);
-        EXPECT_EQ(v.of(Type::answer).size(), 1u);
-        EXPECT_EQ(rig.nodes[0]->of(Type::setup).size(), 2u);
+        EXPECT_EQ(v.of(MessageType::answer).size(), 1u);
+        EXPECT_EQ(rig.nodes[0]->of(MessageType::setup).size(), 2u);
     }
 }
 
 TEST(Relay, ADescriptionThatIsNoTextIsASpoiltAnswer) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
-        if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "\xff\xfe"}});
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
+        if (m.type == MessageType::setup) link.send(MessageType::answer, m.session, -1, {{63, "\xff\xfe"}});
     };
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(500);
-    EXPECT_EQ(v.of(Type::answer).size(), 0u);
-    EXPECT_EQ(v.of(Type::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::answer).size(), 0u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 1u);
 }
 
 TEST(Relay, MoreThanBelongsToAnAnswerHurtsNobody) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
-        if (m.type != Type::setup) return;
-        link.send(Type::answer, 0xdead, -1, {{63, "ahead"}});
-        link.send(Type::answer, m.session, -1, {{63, "x"}});
-        link.send(Type::answer, m.session, -1, {{63, "again"}});
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
+        if (m.type != MessageType::setup) return;
+        link.send(MessageType::answer, 0xdead, -1, {{63, "ahead"}});
+        link.send(MessageType::answer, m.session, -1, {{63, "x"}});
+        link.send(MessageType::answer, m.session, -1, {{63, "again"}});
     };
     Viewer& v = rig.viewer();
     for (std::uint64_t id = 1; id <= 5; ++id) v.say(setup_line(id, "paid"));
     rig.run(1000);
     EXPECT_EQ(v.heard.size(), 5u);
-    EXPECT_EQ(v.of(Type::answer).size(), 5u);
+    EXPECT_EQ(v.of(MessageType::answer).size(), 5u);
 }
 
 TEST(Relay, ASessionThatEndsWithItsAnswerIsAnsweredAndReleased) {
     Rig rig(2);
     rig.nodes[0]->react = rig.nodes[1]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
-        if (m.type == Type::setup) link.send(Type::release, m.session, 16, {{63, "short"}});
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
+        if (m.type == MessageType::setup) link.send(MessageType::release, m.session, 16, {{63, "short"}});
     };
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(500);
     ASSERT_EQ(v.heard.size(), 2u);
-    EXPECT_EQ(v.heard[0].type, Type::answer);
+    EXPECT_EQ(v.heard[0].type, MessageType::answer);
     EXPECT_EQ(*v.heard[0].sdp, "short");
-    EXPECT_EQ(v.heard[1].type, Type::release);
-    EXPECT_EQ(rig.nodes[0]->of(Type::setup).size() + rig.nodes[1]->of(Type::setup).size(), 1u);
+    EXPECT_EQ(v.heard[1].type, MessageType::release);
+    EXPECT_EQ(rig.nodes[0]->of(MessageType::setup).size() + rig.nodes[1]->of(MessageType::setup).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
 }
 
@@ -255,10 +255,10 @@
         Viewer& v = rig.viewer();
         v.say(setup_line(1, "free one"));
         rig.run(ms);
-        const auto before = v.of(Type::answer).size();
+        const auto before = v.of(MessageType::answer).size();
         for (std::uint64_t id = 2; id <= 13; ++id) v.say(setup_line(id, "free one"));
         rig.run(500);
-        return v.of(Type::answer).size() - before;
+        return v.of(MessageType::answer).size() - before;
     };
     EXPECT_LE(served_after(500), 3u);
     EXPECT_GE(served_after(5000), 10u);
@@ -267,31 +267,32 @@
 TEST(Relay, FullProvesThatItNeverRanAndAPaidSetUpGoesOnElsewhere) {
     Rig rig(2);
     const auto full = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
-        if (m.type == Type::setup) link.send(Type::release, m.session, 34);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
+        if (m.type == MessageType::setup) link.send(MessageType::release, m.session, 34);
     };
     rig.nodes[0]->react = full;
     Viewer& v = rig.viewer();
     for (std::uint64_t id = 1; id <= 6; ++id) v.say(setup_line(id, "paid"));
     rig.run(1500);
-    EXPECT_EQ(v.of(Type::answer).size(), 6u);
+    EXPECT_EQ(v.of(MessageType::answer).size(), 6u);
 }
 
 TEST(Relay, ASetUpThatTimesOutIsGivenUpAtItsNodeBeforeTheNextTry) {
     Rig rig(2);
     int silent = 0;
     const auto mute = [&silent](auto& link, const auto& m) {
-        if (m.type == Type::ping) return link.send(Type::pong, m.session, 1);
-        if (m.type != Type::setup) return;
+        if (m.type == MessageType::ping) return link.send(MessageType::pong, m.session, 1);
+        if (m.type != MessageType::setup) return;
         if (silent++ == 0) return;
-        link.send(Type::answer, m.session, -1, {{63, "x"}});
+        link.send(MessageType::answer, m.session, -1, {{63, "x"}});
     };
     rig.nodes[0]->react = rig.nodes[1]->react = mute;
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "free one"));
     rig.run(1500);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
-    EXPECT_EQ(rig.nodes[0]->of(Type::release).size() + rig.nodes[1]->of(Type::release).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
+    EXPECT_EQ(rig.nodes[0]->of(MessageType::release).size() + rig.nodes[1]->of(MessageType::release).size(),
+              1u);
 }
 
 TEST(Relay, ADeadProcessEndsItsSessionsAndAnUnusedResetDoesNot) {
@@ -299,17 +300,17 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(200);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     // Its connections are reset, but it goes on: dialled again, nothing is over.
     for (auto& link : rig.nodes[0]->links) link.stream.reset();
     rig.run(300);
-    EXPECT_EQ(v.of(Type::release).size(), 0u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 0u);
     EXPECT_EQ(rig.director->engine().playing(), 1u);
     // The process dies: nobody listens.
     rig.nodes[0]->listener.reset();
     for (auto& link : rig.nodes[0]->links) link.stream.reset();
     rig.run(300);
-    EXPECT_EQ(v.of(Type::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
 }
 
@@ -320,13 +321,13 @@
     Viewer& v = rig.viewer();
     for (std::uint64_t id = 1; id <= 4; ++id) v.say(setup_line(id, "paid"));
     rig.run(500);
-    ASSERT_EQ(v.of(Type::answer).size(), 4u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 4u);
     ASSERT_GE(rig.nodes[0]->open_links(), 2u);
-    rig.nodes[0]->at_open = [](auto& link) { link.send(Type::release, 1, 16); };
+    rig.nodes[0]->at_open = [](auto& link) { link.send(MessageType::release, 1, 16); };
     rig.nodes[0]->links.front().stream.reset();
     rig.run(200);
-    ASSERT_EQ(v.of(Type::release).size(), 1u);
-    EXPECT_EQ(v.of(Type::release)[0].session, 1u);
+    ASSERT_EQ(v.of(MessageType::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release)[0].session, 1u);
 }
 
 // What a node sends on a connection before it sees that the director ends it is heard.
@@ -335,18 +336,18 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     // Another set-up is given up by its viewer: its connection is ended.
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
-    rig.nodes[0]->at_end = [](auto& link) { link.send(Type::release, 1, 16); };
+    rig.nodes[0]->at_end = [](auto& link) { link.send(MessageType::release, 1, 16); };
     v.say(setup_line(2, "free one"));
     rig.run(200);
     v.say(release_line(2, 16));
     rig.run(200);
-    ASSERT_EQ(v.of(Type::release).size(), 1u);
-    EXPECT_EQ(v.of(Type::release)[0].session, 1u);
+    ASSERT_EQ(v.of(MessageType::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release)[0].session, 1u);
 }
 
 TEST(Relay, ANodeThatResetsEachConnectionIsNotDialledWithoutEnd) {
@@ -354,7 +355,7 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     const auto before = rig.nodes[0]->links.size();
     rig.nodes[0]->at_open = [&](auto& link) { rig.nodes_loop.post([&link] { link.stream.reset(); }); };
     rig.nodes[0]->links.front().stream.reset();
@@ -372,7 +373,7 @@
     rig.run(300);
     const auto dials = rig.director->nodes().counts().dials;
     for (int k = 0; k < 40; ++k) {
-        rig.nodes[0]->links.back().send(Type::note, 1, -1, {{47, "share"}, {57, "0.99"}});
+        rig.nodes[0]->links.back().send(MessageType::note, 1, -1, {{47, "share"}, {57, "0.99"}});
         rig.run(250);
     }
     EXPECT_EQ(rig.director->nodes().counts().dials, dials);
@@ -381,20 +382,20 @@
 TEST(Relay, AMachineThatVanishesIsNoticedAndOneThatHangsIsNot) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
-        if (m.type == Type::setup) link.send(Type::answer, m.session, -1, {{63, "x"}});
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
+        if (m.type == MessageType::setup) link.send(MessageType::answer, m.session, -1, {{63, "x"}});
     };
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(200);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     rig.nodes[0]->react = nullptr;  // hangs: connections still come up
     rig.run(20000);
     EXPECT_EQ(rig.director->engine().playing(), 1u);
     EXPECT_LE(rig.nodes[0]->open_links(), 3u);
     rig.nodes[0]->listener->pause();  // no connection comes up
     rig.run(7500);
-    EXPECT_EQ(v.of(Type::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
 }
 
@@ -408,32 +409,32 @@
     v.stream.reset();
     rig.run(50);
     EXPECT_EQ(rig.director->engine().playing(), 3u) << "a session belongs to no connection";
-    rig.nodes[0]->links.back().send(Type::release, 1, 16);
+    rig.nodes[0]->links.back().send(MessageType::release, 1, 16);
     rig.run(100);
-    ASSERT_EQ(other.of(Type::release).size(), 1u);
-    EXPECT_EQ(other.of(Type::release)[0].session, 1u);
+    ASSERT_EQ(other.of(MessageType::release).size(), 1u);
+    EXPECT_EQ(other.of(MessageType::release)[0].session, 1u);
     other.stream.reset();
     rig.run(50);
-    rig.nodes[0]->links.back().send(Type::release, 2, 16);
+    rig.nodes[0]->links.back().send(MessageType::release, 2, 16);
     rig.run(100);
     Viewer& next = rig.viewer();
     next.say(setup_line(4, "paid"));
     rig.run(300);
-    ASSERT_EQ(next.of(Type::release).size(), 1u);
-    EXPECT_EQ(next.of(Type::release)[0].session, 2u);
+    ASSERT_EQ(next.of(MessageType::release).size(), 1u);
+    EXPECT_EQ(next.of(MessageType::release)[0].session, 2u);
 }
 
 TEST(Relay, OutOfConnectionsSetUpsShareThem) {
     Rig rig(1, 16);
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     Viewer& v = rig.viewer();
     for (std::uint64_t id = 1; id <= 30; ++id) v.say(setup_line(id, "free one"));
     rig.run(300);
-    EXPECT_GT(rig.nodes[0]->of(Type::setup).size(), 8u);
-    EXPECT_LE(rig.director->nodes().connections(), 8u);
-    EXPECT_GT(rig.director->nodes().counts().shared, 0u);
+    EXPECT_GT(rig.nodes[0]->of(MessageType::setup).size(), 8u);
+    EXPECT_LE(rig.director->nodes().connection_count(), 8u);
+    EXPECT_GT(rig.director->nodes().counts().shared_connections, 0u);
     rig.run(5000);
     EXPECT_EQ(v.heard.size(), 30u) << "each is answered, once";
 }
@@ -445,8 +446,8 @@
     Viewer& v = rig.viewer();
     for (std::uint64_t id = 1; id <= 5; ++id) v.say(setup_line(id, "paid"));
     rig.run(1000);
-    EXPECT_EQ(v.of(Type::answer).size(), 5u);
-    EXPECT_TRUE(rig.nodes[0]->of(Type::setup).empty());
+    EXPECT_EQ(v.of(MessageType::answer).size(), 5u);
+    EXPECT_TRUE(rig.nodes[0]->of(MessageType::setup).empty());
 }
 
 TEST(Relay, ANodeThatIsGoneTakesItsSessionsAndItsSuccessorInheritsNothing) {
@@ -454,13 +455,13 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(200);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     rig.list({{"s-new", rig.listed[0].address}});
-    EXPECT_EQ(v.of(Type::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 1u);
     EXPECT_EQ(rig.director->engine().open_sessions(), 0u);
     v.say(setup_line(2, "paid"));
     rig.run(300);
-    EXPECT_EQ(v.of(Type::answer).size(), 2u);
+    EXPECT_EQ(v.of(MessageType::answer).size(), 2u);
 }
 
 TEST(Relay, NameAnswersThatAreNoneChangeNothing) {
@@ -536,7 +537,7 @@
 TEST(Relay, StopsWhenAllThatItTookIsAnswered) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid", 2000));
@@ -559,17 +560,17 @@
     Rig rig;
     Viewer& v = rig.viewer();
     rig.nodes[0]->react = [&](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
-        if (m.type != Type::setup) return;
-        link.send(Type::answer, m.session, -1, {{63, "x"}});
-        if (m.session == 1) link.send(Type::release, m.session, 31);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
+        if (m.type != MessageType::setup) return;
+        link.send(MessageType::answer, m.session, -1, {{63, "x"}});
+        if (m.session == 1) link.send(MessageType::release, m.session, 31);
     };
     v.say(setup_line(1, "paid", 2000));
     v.say(setup_line(2, "paid", 2000));
     rig.run(500);
-    ASSERT_EQ(v.of(Type::answer).size(), 2u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 2u);
     for (auto& link : rig.nodes[0]->links)
-        if (link.open) link.send(Type::release, 2, 31);
+        if (link.open) link.send(MessageType::release, 2, 31);
     rig.run(500);
     EXPECT_EQ(v.heard.size(), 2u);
     EXPECT_EQ(rig.director->engine().playing(), 0u);
@@ -583,7 +584,7 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid", 2000));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     bool done = false;
     rig.director->stop([&] { done = true; });
     rig.run(400);
@@ -597,7 +598,7 @@
     rig.nodes[0]->listener->resume();
     rig.run(3000);
     EXPECT_TRUE(done);
-    EXPECT_FALSE(rig.nodes[0]->of(Type::release).empty());
+    EXPECT_FALSE(rig.nodes[0]->of(MessageType::release).empty());
 }
 
 // A session ends while its client has no connection here that ever carried a set-up; one that has passed a
@@ -607,16 +608,16 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid", 2000));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     v.stream->end();
     Viewer& silent = rig.viewer();
     Viewer& tested = rig.viewer();
     tested.say(R"({"type":"ping","id":"00000000000000ff","fields":{},"cause":0})");
     rig.run(100);
     for (auto& link : rig.nodes[0]->links)
-        if (link.open) link.send(Type::release, 1, 16);
+        if (link.open) link.send(MessageType::release, 1, 16);
     rig.run(4000);
-    EXPECT_EQ(tested.of(Type::release).size(), 1u);
+    EXPECT_EQ(tested.of(MessageType::release).size(), 1u);
     EXPECT_TRUE(silent.heard.empty()) << "who says nothing is nobody to tell";
 }
 
@@ -628,7 +629,7 @@
     Node& node = *rig.nodes[0];
     v.say(setup_line(1, "paid", 2000));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     const auto react = std::exchange(node.react, [](auto&, const auto&) {});
     v.say(setup_line(2, "paid", 2000));
     rig.run(100);
@@ -640,13 +641,13 @@
     rig.run(1500);
     const std::size_t dialled = node.links.size();
     node.react = react;
-    node.at_open = [](auto& link) { link.send(Type::release, 1, 16); };
+    node.at_open = [](auto& link) { link.send(MessageType::release, 1, 16); };
     auto& other = node.links.back();
     ASSERT_TRUE(other.open);
-    other.send(Type::note, 1, -1, {{47, "share"}, {57, "1"}});
+    other.send(MessageType::note, 1, -1, {{47, "share"}, {57, "1"}});
     rig.run(400);
     EXPECT_GT(node.links.size(), dialled) << "nothing else would bring the end";
-    EXPECT_EQ(v.of(Type::release).size(), 1u);
+    EXPECT_EQ(v.of(MessageType::release).size(), 1u);
 }
 
 // Its own connection was ended behind the answer, the end is told on another: read first, it would be taken
@@ -656,22 +657,22 @@
     Viewer& own = rig.viewer();
     Viewer& other = rig.viewer();
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     own.say(setup_line(1, "paid", 3000));
     other.say(setup_line(2, "paid", 3000));
     rig.run(100);
     rig.director->stop([] {});
     rig.run(900);
-    const auto tell = [&](Type type, int cause, std::map<int, std::string> with) {
+    const auto tell = [&](MessageType type, int cause, std::map<int, std::string> with) {
         for (auto& link : rig.nodes[0]->links)
             if (link.open) link.send(type, 1, cause, with);
     };
-    tell(Type::answer, -1, {{63, "x"}});
+    tell(MessageType::answer, -1, {{63, "x"}});
     rig.run(10);
-    ASSERT_EQ(own.of(Type::answer).size(), 1u);
+    ASSERT_EQ(own.of(MessageType::answer).size(), 1u);
     ASSERT_FALSE(own.open) << "drained";
-    tell(Type::release, 16, {});
+    tell(MessageType::release, 16, {});
     rig.run(30);
     EXPECT_TRUE(other.heard.empty()) << "the answer may still be on its way";
     rig.run(100);
@@ -710,13 +711,13 @@
         Viewer& v = rig.viewer();
         v.say(setup_line(1, "paid", 2000));
         rig.run(300);
-        ASSERT_EQ(v.of(Type::answer).size(), 1u);
+        ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
         for (auto& link : rig.nodes[0]->links) link.stream.reset();
         if (!crosses) rig.run(2);  // the director knows; it dials a little later
         v.say(release_line(1, 16));
         rig.run(1000);
-        ASSERT_EQ(rig.nodes[0]->of(Type::release).size(), 1u) << crosses;
-        EXPECT_EQ(rig.nodes[0]->of(Type::release)[0].session, 1u);
+        ASSERT_EQ(rig.nodes[0]->of(MessageType::release).size(), 1u) << crosses;
+        EXPECT_EQ(rig.nodes[0]->of(MessageType::release)[0].session, 1u);
         EXPECT_EQ(rig.director->engine().playing(), 0u);
     }
 }
@@ -729,29 +730,29 @@
     v.say(setup_line(1, "paid", 2000));
     other.say(setup_line(2, "paid", 2000));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     for (auto& link : rig.nodes[0]->links)
         if (link.open) {
-            link.send(Type::release, 1, 16);
+            link.send(MessageType::release, 1, 16);
             break;
         }
     v.stream.reset();
     rig.run(300);
-    ASSERT_EQ(other.of(Type::release).size(), 1u);
-    EXPECT_EQ(other.of(Type::release)[0].session, 1u);
+    ASSERT_EQ(other.of(MessageType::release).size(), 1u);
+    EXPECT_EQ(other.of(MessageType::release)[0].session, 1u);
     // Long after the end was told a connection that closes tells nothing.
     for (auto& link : rig.nodes[0]->links)
         if (link.open) {
-            link.send(Type::release, 2, 16);
+            link.send(MessageType::release, 2, 16);
             break;
         }
     Viewer& third = rig.viewer();
     third.say(setup_line(3, "paid", 2000));
     rig.run(300);
-    ASSERT_EQ(other.of(Type::release).size(), 2u);
+    ASSERT_EQ(other.of(MessageType::release).size(), 2u);
     other.stream.reset();
     rig.run(300);
-    EXPECT_TRUE(third.of(Type::release).empty());
+    EXPECT_TRUE(third.of(MessageType::release).empty());
 }
 
 // Set-ups that are refused fill the output of a viewer that does not read, while another of the same
@@ -771,7 +772,7 @@
     Viewer& next = rig.viewer();
     next.say(setup_line(id, "paid", 2000));
     rig.run(500);
-    EXPECT_EQ(next.of(Type::answer).size(), 1u);
+    EXPECT_EQ(next.of(MessageType::answer).size(), 1u);
 }
 
 // A name server that answers late by more than the queries of two seconds is heard; a silent one is asked
@@ -808,7 +809,7 @@
 TEST(Relay, AtTheEndWhatMayWaitLongerIsAnsweredBeforeTheKill) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     Viewer &v = rig.viewer(), &late = rig.viewer();
     v.say(setup_line(1, "paid", 5000));
@@ -822,10 +823,10 @@
     rig.run(290);
     for (const Viewer* one : {&v, &late}) {
         ASSERT_EQ(one->heard.size(), 1u);
-        EXPECT_EQ(one->heard[0].type, Type::release);
+        EXPECT_EQ(one->heard[0].type, MessageType::release);
         EXPECT_NE(one->heard[0].cause, 34) << "it may have run";
     }
-    EXPECT_EQ(rig.nodes[0]->of(Type::release).size(), 2u) << "given up at its node too";
+    EXPECT_EQ(rig.nodes[0]->of(MessageType::release).size(), 2u) << "given up at its node too";
     EXPECT_TRUE(done);
 }
 
@@ -834,8 +835,8 @@
     Rig rig(2);
     int n = 0;
     rig.nodes[0]->react = rig.nodes[1]->react = [&n](auto& link, const auto& m) {
-        if (m.type == Type::ping) return link.send(Type::pong, m.session, 1);
-        if (m.type == Type::setup && n++ > 0) link.send(Type::release, m.session, 47);
+        if (m.type == MessageType::ping) return link.send(MessageType::pong, m.session, 1);
+        if (m.type == MessageType::setup && n++ > 0) link.send(MessageType::release, m.session, 47);
     };
     Viewer& v = rig.viewer();
     std::vector<core::SessionRecord> ends;
@@ -860,7 +861,7 @@
     rig.run(500);
     v.say(release_line(1, 31));
     rig.run(100);
-    rig.nodes[0]->links.back().send(Type::release, 2, 16);
+    rig.nodes[0]->links.back().send(MessageType::release, 2, 16);
     rig.run(100);
     ASSERT_EQ(ends.size(), 2u);
     EXPECT_EQ(ends[0].ended_by, "player");
@@ -873,15 +874,15 @@
     Viewer& v = rig.viewer();
     v.say(setup_line(1, "paid"));
     rig.run(300);
-    ASSERT_EQ(v.of(Type::answer).size(), 1u);
+    ASSERT_EQ(v.of(MessageType::answer).size(), 1u);
     rig.nodes[0]->listener->pause();
     for (std::uint64_t id = 2; id <= 9; ++id) v.say(setup_line(id, "paid"));
     rig.run(400);
     rig.nodes[0]->listener->resume();
     rig.run(3000);
     EXPECT_GT(rig.director->nodes().counts().dials, 5u);
-    EXPECT_EQ(rig.director->nodes().counts().vanished, 0u);
-    for (const auto& m : v.of(Type::release)) EXPECT_NE(m.session, 1u);
+    EXPECT_EQ(rig.director->nodes().counts().unreachable, 0u);
+    for (const auto& m : v.of(MessageType::release)) EXPECT_NE(m.session, 1u);
 }
 
 // What nodes tell, kept: the port alone, without engine and module.
@@ -911,12 +912,12 @@
         Told told;
         nodes::RelayNodes port(here, {});
         port.attach(&told);
-        port.know({{1, {"s-0", at, true}}});
+        port.set_nodes({{1, {"s-0", at, true}}});
         core::SetUp what;
         what.session = 7, what.server = 1, what.expires = 1000;
         port.set_up(what);
-        if (gone) port.know({});
-        else port.know({{1, {"s-0", at, false}}});
+        if (gone) port.set_nodes({});
+        else port.set_nodes({{1, {"s-0", at, false}}});
         world.run_until(500);
         EXPECT_TRUE(node.heard.empty());
         ASSERT_EQ(told.ends.size(), 1u);
@@ -927,7 +928,7 @@
 TEST(Relay, AConnectionWithASetUpTakenNeverGivesWay) {
     Rig rig(1, 32);
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     std::vector<Viewer*> all;
     for (std::uint64_t id = 1; id <= 12; ++id) {
@@ -943,7 +944,7 @@
 TEST(Relay, AtTheEndWhatStillComesIsRefusedAndNotTaken) {
     Rig rig;
     rig.nodes[0]->react = [](auto& link, const auto& m) {
-        if (m.type == Type::ping) link.send(Type::pong, m.session, 1);
+        if (m.type == MessageType::ping) link.send(MessageType::pong, m.session, 1);
     };
     Viewer &v = rig.viewer(), &late = rig.viewer();
     v.say(setup_line(1, "paid", 3000));
@@ -983,17 +984,18 @@
     };
     for (auto& node : rig.nodes)
         node->react = [&](auto& link, const auto& m) {
-            if (m.type == Type::ping)
-                return draw(8) ? link.send(Type::pong, m.session, 1, {{51, "inflight:3;x0:0.2;x1:bad"}})
-                               : link.stream->write(noise());
-            if (m.type != Type::setup) return;
+            if (m.type == MessageType::ping)
+                return draw(8)
+                           ? link.send(MessageType::pong, m.session, 1, {{51, "inflight:3;x0:0.2;x1:bad"}})
+                           : link.stream->write(noise());
+            if (m.type != MessageType::setup) return;
             switch (draw(12)) {
                 case 0:
-                    return link.send(Type::release, m.session, 34);
+                    return link.send(MessageType::release, m.session, 34);
                 case 1:
-                    return link.send(Type::release, m.session, 47);
+                    return link.send(MessageType::release, m.session, 47);
                 case 2:
-                    return link.send(Type::release, m.session, 16, {{63, "short"}});
+                    return link.send(MessageType::release, m.session, 16, {{63, "short"}});
                 case 3:
                     return link.stream->write(noise());
                 case 4:
@@ -1001,10 +1003,12 @@
                 case 5:
                     return link.stream->end();
                 default:
-                    link.send(Type::answer, m.session, -1, {{63, "x"}});
-                    if (draw(3) == 0) link.send(Type::answer, m.session, -1, {{63, "again"}});
-                    if (draw(3) == 0) link.send(Type::release, m.session, 16 + static_cast<int>(draw(30)));
-                    if (draw(3) == 0) link.send(Type::note, m.session, -1, {{47, "share"}, {57, "0.5"}});
+                    link.send(MessageType::answer, m.session, -1, {{63, "x"}});
+                    if (draw(3) == 0) link.send(MessageType::answer, m.session, -1, {{63, "again"}});
+                    if (draw(3) == 0)
+                        link.send(MessageType::release, m.session, 16 + static_cast<int>(draw(30)));
+                    if (draw(3) == 0)
+                        link.send(MessageType::note, m.session, -1, {{47, "share"}, {57, "0.5"}});
             }
         };
     struct Asked {
@@ -1059,8 +1063,8 @@
         int answers = 0, releases = 0;
         for (const auto& m : one.viewer->heard) {
             if (m.session != id) continue;
-            answers += m.type == Type::answer;
-            releases += m.type == Type::release;
+            answers += m.type == MessageType::answer;
+            releases += m.type == MessageType::release;
         }
         EXPECT_LE(answers, 1) << id;
         EXPECT_LE(releases, 1) << id;
@@ -1069,7 +1073,7 @@
     }
     EXPECT_EQ(rig.director->front().open(), 0u);
     EXPECT_EQ(rig.director->engine().owed(), 0u);
-    EXPECT_LE(rig.director->nodes().connections(), 24u);
+    EXPECT_LE(rig.director->nodes().connection_count(), 24u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RelayStorm, ::testing::Range(1, 101));
 
@@ -1084,8 +1088,8 @@
     v.stream->write(read("relay-viewer.jsonl"));
     world.run_until(1000);
     ASSERT_EQ(v.heard.size(), 2u);
-    EXPECT_EQ(v.heard[0].type, Type::pong);
-    EXPECT_EQ(v.heard[1].type, Type::release);
+    EXPECT_EQ(v.heard[0].type, MessageType::pong);
+    EXPECT_EQ(v.heard[1].type, MessageType::release);
     EXPECT_EQ(v.heard[1].cause, 34);
     EXPECT_EQ(v.heard[1].fields.count("wait"), 1u);
 }
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -12,9 +12,9 @@
 
 namespace ivyfield::relaytest {
 
-using relay::Code;
+using relay::MessageType;
 using relay::NodeMessage;
-using relay::Type;
+using relay::ParameterCode;
 using relay::ViewerMessage;
 
 // One media node. Everything that comes is kept; `react` may answer.
@@ -40,8 +40,9 @@
             stream->end();
         }
         void on_closed(io::Closing) override { open = false; }
-        void send(const NodeMessage& m) { stream->write(relay::write_frame(m)); }
-        void send(Type type, std::uint64_t session, int cause = -1, std::map<int, std::string> with = {}) {
+        void send(const NodeMessage& m) { stream->write(relay::encode_frame(m)); }
+        void send(MessageType type, std::uint64_t session, int cause = -1,
+                  std::map<int, std::string> with = {}) {
             NodeMessage m;
             m.type = type, m.session = session, m.parameters = std::move(with);
             if (cause >= 0) m.cause = cause;
@@ -62,9 +63,11 @@
             if (at_open) at_open(link);
         });
         react = [](Link& link, const NodeMessage& m) {
-            if (m.type == Type::setup)
-                link.send(Type::answer, m.session, -1, {{63, "answer to " + *m.find(Code::sdp)}});
-            if (m.type == Type::ping) link.send(Type::pong, m.session, 1, {{51, "inflight:1;x0:0.1;x1:0.1"}});
+            if (m.type == MessageType::setup)
+                link.send(MessageType::answer, m.session, -1,
+                          {{63, "answer to " + *m.find(ParameterCode::sdp)}});
+            if (m.type == MessageType::ping)
+                link.send(MessageType::pong, m.session, 1, {{51, "inflight:1;x0:0.1;x1:0.1"}});
         };
     }
     void on_data(std::string_view) override {}
@@ -75,7 +78,7 @@
         for (const Link& link : links) n += link.open;
         return n;
     }
-    std::vector<NodeMessage> of(Type type) const {
+    std::vector<NodeMessage> of(MessageType type) const {
         std::vector<NodeMessage> out;
         for (const auto& m : heard)
             if (m.type == type) out.push_back(m);
@@ -93,7 +96,7 @@
         while (!bytes.empty()) {
             const auto line = decoder.next(bytes);
             if (!line) continue;
-            const auto read = relay::read_line(*line);
+            const auto read = relay::parse_line(*line);
             ASSERT_TRUE(std::holds_alternative<ViewerMessage>(read)) << *line;
             heard.push_back(std::get<ViewerMessage>(read));
         }
@@ -101,7 +104,7 @@
     void on_end() override { stream->end(); }
     void on_closed(io::Closing) override { open = false; }
     void say(const std::string& line) { stream->write(line + "\n"); }
-    std::vector<ViewerMessage> of(Type type) const {
+    std::vector<ViewerMessage> of(MessageType type) const {
         std::vector<ViewerMessage> out;
         for (const auto& m : heard)
             if (m.type == type) out.push_back(m);
@@ -205,12 +208,13 @@
 inline std::string setup_line(std::uint64_t id, const std::string& cls, int left = 4000,
                               const std::string& extras = "home:0;copies:12;top:1;viewer:00000000b4d65521",
                               const std::string& more = "") {
-    return R"({"type":"setup","id":")" + relay::hex(id) + R"(","fields":{"class":")" + cls + R"(","left":")" +
-           std::to_string(left) + R"(","tenant":"acme","key":"7f3a9c21e0b4d655","extras":")" + extras + "\"" +
-           more + R"(},"sdp":"offer )" + relay::hex(id) + "\"}";
+    return R"({"type":"setup","id":")" + relay::to_hex(id) + R"(","fields":{"class":")" + cls +
+           R"(","left":")" + std::to_string(left) +
+           R"(","tenant":"acme","key":"7f3a9c21e0b4d655","extras":")" + extras + "\"" + more +
+           R"(},"sdp":"offer )" + relay::to_hex(id) + "\"}";
 }
 inline std::string release_line(std::uint64_t id, int cause) {
-    return R"({"type":"release","id":")" + relay::hex(id) + R"(","fields":{},"cause":)" +
+    return R"({"type":"release","id":")" + relay::to_hex(id) + R"(","fields":{},"cause":)" +
            std::to_string(cause) + "}";
 }
 
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -69,7 +69,7 @@
             while (!bytes.empty()) {
                 const auto line = decoder.next(bytes);
                 if (line) owner.heard(*this, *line);
-                else if (decoder.too_long()) return owner.ledger_.fault("a line without end");
+                else if (decoder.is_too_long()) return owner.ledger_.fault("a line without end");
             }
         }
         void on_end() override {
@@ -152,11 +152,12 @@
     }
 
     void heard(Link& link, const std::string& text) {
-        const auto read = relay::read_line(text);
+        const auto read = relay::parse_line(text);
         const auto* message = std::get_if<ViewerMessage>(&read);
         if (!message) return ledger_.fault("a client received what can't be read: " + text);
         Request* request = ledger_.find(message->session);
-        if (message->type == relay::Type::released || message->type == relay::Type::pong) return;
+        if (message->type == relay::MessageType::released || message->type == relay::MessageType::pong)
+            return;
         ledger_.word(message->session,
                      std::string(relay::name(message->type)) + " " +
                          std::to_string(message->cause.value_or(0)) + " on connection " +
@@ -164,16 +165,16 @@
                      loop_.now());
         if (!request) return ledger_.fault("a client received a word on what it never asked: " + text);
         const bool open = request->reply == Reply::none;
-        if (message->type == relay::Type::answer) {
+        if (message->type == relay::MessageType::answer) {
             link.pending.erase(message->session);
-            const std::string wanted = "answer to offer " + relay::hex(message->session);
+            const std::string wanted = "answer to offer " + relay::to_hex(message->session);
             if (message->sdp.value_or("") != wanted) ledger_.lost(*request, "answered wrongly", loop_.now());
             ledger_.replied(message->session, Reply::established, loop_.now());
             if (chance() < settings_.hangs_up)
                 keep(loop_.after(between(20, 600), [this, id = message->session] { hang_up(id); }));
             return;
         }
-        if (message->type == relay::Type::release && open) {
+        if (message->type == relay::MessageType::release && open) {
             link.pending.erase(message->session);
             const bool rejected = message->cause == 34 || message->cause == 42 || message->cause == 102;
             return ledger_.replied(message->session, rejected ? Reply::rejected : Reply::failed, loop_.now());
--- a/tests/soak/media_node.hpp
+++ b/tests/soak/media_node.hpp
@@ -12,8 +12,8 @@
 
 namespace ivyfield::soak {
 
+using relay::MessageType;
 using relay::NodeMessage;
-using relay::Type;
 
 // Chances of what a node does with a set-up; the rest is answered.
 struct NodeBehaviour {
@@ -120,7 +120,7 @@
                 ++it;
                 continue;
             }
-            send(*link, Type::release, it->id, it->cause);
+            send(*link, MessageType::release, it->id, it->cause);
             if (Request* request = ledger_.find(it->id); request && !request->told)
                 request->told = loop_.now();
             it = untold_.erase(it);
@@ -130,32 +130,34 @@
         if (hanging_) waiting_.push_back(std::move(task));
         else task();
     }
-    void send(Link& link, Type type, RequestId id, int cause = -1, const std::string& description = "") {
+    void send(Link& link, MessageType type, RequestId id, int cause = -1,
+              const std::string& description = "") {
         if (!link.stream) return;
         NodeMessage message;
         message.type = type;
         message.session = id;
         if (cause >= 0) message.cause = cause;
-        if (!description.empty()) message.parameters[static_cast<int>(relay::Code::sdp)] = description;
-        link.stream->write(relay::write_frame(message));
+        if (!description.empty())
+            message.parameters[static_cast<int>(relay::ParameterCode::sdp)] = description;
+        link.stream->write(relay::encode_frame(message));
     }
 
     void take(Link& link, const NodeMessage& message) {
         switch (message.type) {
-            case Type::setup:
+            case MessageType::setup:
                 return take_set_up(link, message);
-            case Type::release:
+            case MessageType::release:
                 return take_release(link, message.session);
-            case Type::move:
+            case MessageType::move:
                 sessions_.erase(message.session);
                 return;
-            case Type::ping: {
+            case MessageType::ping: {
                 NodeMessage pong;
-                pong.type = Type::pong;
+                pong.type = MessageType::pong;
                 pong.session = message.session;
-                pong.cause = relay::kCausePassed;
-                pong.parameters[static_cast<int>(relay::Code::report)] = "inflight:1;x0:0.1;x1:0.1";
-                link.stream->write(relay::write_frame(pong));
+                pong.cause = relay::kPongPassed;
+                pong.parameters[static_cast<int>(relay::ParameterCode::report)] = "inflight:1;x0:0.1;x1:0.1";
+                link.stream->write(relay::encode_frame(pong));
                 return;
             }
             default:
@@ -180,7 +182,7 @@
             if (one.get() == &link) weak = one;
         if (drawn < b.silent) return;
         const Time when = between(b.least_answer, b.most_answer);
-        const std::string* offer = message.find(relay::Code::sdp);
+        const std::string* offer = message.find(relay::ParameterCode::sdp);
         const std::string answer = "answer to " + (offer ? *offer : "nothing");
         timers_.push_back(loop_.after(when, [this, weak, id, drawn, answer] {
             when_awake([this, weak, id, drawn, answer] { conclude(weak, id, drawn, answer); });
@@ -198,7 +200,7 @@
         if (drawn < reset) return link->drop();
         link->open.erase(id);
         ledger_.attempt_ended(id, name_, AttemptEnd::answered, loop_.now());
-        send(*link, Type::answer, id, -1, answer);
+        send(*link, MessageType::answer, id, -1, answer);
         const double life = chance();
         auto& session = sessions_[id];
         session.link = weak;
@@ -214,7 +216,7 @@
     void turn_away(Link& link, RequestId id, int cause, AttemptEnd how) {
         link.open.erase(id);
         ledger_.attempt_ended(id, name_, how, loop_.now());
-        send(link, Type::release, id, cause);
+        send(link, MessageType::release, id, cause);
     }
 
     // The session is over; told on the connection of its set-up, otherwise on any, otherwise on the next.
@@ -239,7 +241,7 @@
                                  : ", to be told on the next"),
                      loop_.now());
         if (Request* request = ledger_.find(id); request && link) request->told = loop_.now();
-        if (link) send(*link, Type::release, id, cause);
+        if (link) send(*link, MessageType::release, id, cause);
         untold_.push_back({id, cause, gone.director});
     }
 
