--- a/src/cli/director.cpp
+++ b/src/cli/director.cpp
@@ -170,7 +170,7 @@
                   {"streams", streams},
                   {"attempts", nodes_.attempt_count()},
                   {"doubtful", nodes_.in_doubt_count()},
-                  {"set_ups", n.set_ups},
+                  {"set_ups", n.setups},
                   {"streams_lost", n.streams_lost},
                   {"accounts", n.hellos},
                   {"whole_accounts", n.full_snapshots},
--- a/tests/nodes/client_test.cpp
+++ b/tests/nodes/client_test.cpp
@@ -1,6 +1,6 @@
-// Many nodes at once, on simulated time: all streams lost, a list that flaps, nodes that restart in a loop, a
-// director that stood still, a node of an earlier protocol. What it costs is counted in streams and accounts,
-// not in time.
+// NodeClient with 300 nodes on simulated time: all streams lost at once, a flapping server list, nodes that
+// restart in a loop, a director process that was stalled, a node of an earlier protocol version. The cost is
+// counted in streams and hellos, not in time.
 #include "nodes/client.hpp"
 
 #include <gtest/gtest.h>
@@ -13,37 +13,37 @@
 
 namespace {
 
-struct Heard : core::NodeEvents {
-    int started_ = 0, over_ = 0, lost_ = 0, released_ = 0, lives = 0;
+struct RecordingEvents : core::NodeEvents {
+    int started_count = 0, ended_count = 0, lost_count = 0, released_count = 0, incarnations = 0;
     std::map<Outcome, int> outcomes;
-    void started(SessionId, int, const core::Media&) override { started_ += 1; }
+    void started(SessionId, int, const core::Media&) override { started_count += 1; }
     void over(SessionId, int, Outcome outcome, const LoadReport&) override {
-        over_ += 1, outcomes[outcome] += 1;
+        ended_count += 1, outcomes[outcome] += 1;
     }
-    void lost(SessionId, int, Outcome) override { lost_ += 1; }
-    void released(SessionId, int) override { released_ += 1; }
+    void lost(SessionId, int, Outcome) override { lost_count += 1; }
+    void released(SessionId, int) override { released_count += 1; }
     void note(SessionId, int, ServerId, NoteKind, double) override {}
     bool found(const core::FoundPlaying&) override { return false; }
-    void life(ServerId, Time) override { lives += 1; }
+    void life(ServerId, Time) override { incarnations += 1; }
     void probed(ServerId, Outcome, Time, const LoadReport&) override {}
 };
 
 struct ManyNodes : testing::Test {
-    static constexpr int kNodes = 300, kEach = 33;
+    static constexpr int kNodes = 300, kSessionsPerNode = 33;
     io::World world{5};
-    io::VirtualLoop& rig = world.start("rig");
-    io::VirtualLoop& there = world.start("director");
+    io::VirtualLoop& node_loop = world.start("rig");
+    io::VirtualLoop& director_loop = world.start("director");
     fleet::Fleet fleet{[] {
         fleet::FleetSpec s;
         s.rack_kb.assign(kNodes, 1e9);
         return s;
     }()};
     std::vector<std::unique_ptr<standins::Node>> nodes;
-    std::map<ServerId, io::Address> all;
+    std::map<ServerId, io::Address> listed;
     Settings settings;
-    Heard heard;
-    std::unique_ptr<nodes::NodeClient> link;
-    SessionId last = 0;
+    RecordingEvents events;
+    std::unique_ptr<nodes::NodeClient> client;
+    SessionId last_session = 0;
 
     void SetUp() override {
         settings.rung_kb = {100};
@@ -56,133 +56,134 @@
             s.rung_kb = {100};
             s.classes = {{"c", 1, false}};
             s.idle = 1e9;
-            nodes.push_back(std::make_unique<standins::Node>(rig, fleet, fleet.add({k, 1e6, 1000}), s,
+            nodes.push_back(std::make_unique<standins::Node>(node_loop, fleet, fleet.add({k, 1e6, 1000}), s,
                                                              standins::TapSink{}));
             nodes.back()->start(true);
-            all[static_cast<ServerId>(k)] = nodes.back()->address();
+            listed[static_cast<ServerId>(k)] = nodes.back()->address();
         }
-        link = std::make_unique<nodes::NodeClient>(there, "d", settings, nodes::NodeClientLimits{});
-        link->attach(&heard);
-        link->set_nodes(all);
+        client = std::make_unique<nodes::NodeClient>(director_loop, "d", settings, nodes::NodeClientLimits{});
+        client->attach(&events);
+        client->set_nodes(listed);
         run(1000);
         for (int k = 0; k < kNodes; ++k)
-            for (int n = 0; n < kEach; ++n) set_up(static_cast<ServerId>(k));
+            for (int n = 0; n < kSessionsPerNode; ++n) set_up(static_cast<ServerId>(k));
         run(1000);
-        ASSERT_EQ(heard.started_, kNodes * kEach);
-        ASSERT_EQ(live(), std::size_t(kNodes));
+        ASSERT_EQ(events.started_count, kNodes * kSessionsPerNode);
+        ASSERT_EQ(synced_count(), std::size_t(kNodes));
     }
     void TearDown() override {
-        world.kill(there);
-        link.reset();
+        world.kill(director_loop);
+        client.reset();
     }
     void set_up(ServerId server) {
-        core::SetUp what;
-        what.session = ++last, what.server = server;
-        what.ask.sid = "s" + std::to_string(last), what.ask.title_name = "t";
-        link->set_up(what);
+        core::SetUp request;
+        request.session = ++last_session, request.server = server;
+        request.ask.sid = "s" + std::to_string(last_session), request.ask.title_name = "t";
+        client->set_up(request);
     }
     void run(double ms) { world.run_until(world.now() + ms); }
-    std::size_t live() const {
-        const auto states = link->count_streams();
+    std::size_t synced_count() const {
+        const auto states = client->count_streams();
         const auto it = states.find(nodes::StreamState::synced);
         return it == states.end() ? 0 : it->second;
     }
 };
 
-TEST_F(ManyNodes, AllStreamsLostAtOnceComeBackAFewAtATimeAndCostWhatChanged) {
-    const auto before = link->counts();
+TEST_F(ManyNodes, StreamsLostAllAtOnceAreRedialledAFewAtATimeAndResumed) {
+    const auto before = client->counts();
     world.weather.reset_chance = 1;
     run(1200);
     world.weather.reset_chance = 0;
-    EXPECT_LT(live(), 10u);
-    const double from = world.now();
-    std::size_t most = 0;
-    while (live() < std::size_t(kNodes) && world.now() < from + 20000) {
+    EXPECT_LT(synced_count(), 10u);
+    const double start = world.now();
+    std::size_t max_connecting = 0;
+    while (synced_count() < std::size_t(kNodes) && world.now() < start + 20000) {
         run(1);
-        const auto states = link->count_streams();
-        const auto dialling = states.find(nodes::StreamState::connecting);
-        if (dialling != states.end()) most = std::max(most, dialling->second);
+        const auto states = client->count_streams();
+        const auto connecting = states.find(nodes::StreamState::connecting);
+        if (connecting != states.end()) max_connecting = std::max(max_connecting, connecting->second);
     }
-    RecordProperty("ms_until_right", std::to_string(world.now() - from));
-    std::printf("right again after %.0f ms, %zu dialled at once at most, %llu accounts\n", world.now() - from,
-                most, static_cast<unsigned long long>(link->counts().hellos - before.hellos));
-    EXPECT_LE(most, 32u);
-    EXPECT_LT(world.now() - from, 7000);
-    EXPECT_EQ(link->counts().full_snapshots, before.full_snapshots) << "taken up where they ended";
-    EXPECT_EQ(heard.over_ + heard.lost_, 0);
-    EXPECT_EQ(link->attempt_count(), std::size_t(kNodes * kEach));
+    RecordProperty("ms_until_synced", std::to_string(world.now() - start));
+    std::printf("synced again after %.0f ms, %zu dialled at once at most, %llu hellos\n", world.now() - start,
+                max_connecting, static_cast<unsigned long long>(client->counts().hellos - before.hellos));
+    EXPECT_LE(max_connecting, 32u);
+    EXPECT_LT(world.now() - start, 7000);
+    EXPECT_EQ(client->counts().full_snapshots, before.full_snapshots)
+        << "streams must resume where they broke";
+    EXPECT_EQ(events.ended_count + events.lost_count, 0);
+    EXPECT_EQ(client->attempt_count(), std::size_t(kNodes * kSessionsPerNode));
 }
-TEST_F(ManyNodes, AListThatDropsAndReturnsATenthEachSecondChangesNothing) {
-    const auto before = link->counts();
+TEST_F(ManyNodes, AListThatDropsATenthOfTheNodesForHalfASecondChangesNothing) {
+    const auto before = client->counts();
     for (int round = 0; round < 10; ++round) {
-        auto some = all;
-        for (int k = 0; k < 30; ++k) some.erase(static_cast<ServerId>(round * 30 + k));
-        link->set_nodes(some);
+        auto partial_list = listed;
+        for (int k = 0; k < 30; ++k) partial_list.erase(static_cast<ServerId>(round * 30 + k));
+        client->set_nodes(partial_list);
         run(500);
-        link->set_nodes(all);
+        client->set_nodes(listed);
         run(500);
     }
-    EXPECT_EQ(link->counts().hellos, before.hellos) << "streams are kept where sessions play";
-    EXPECT_EQ(heard.over_ + heard.lost_, 0);
-    EXPECT_EQ(live(), std::size_t(kNodes));
+    EXPECT_EQ(client->counts().hellos, before.hellos) << "streams must be kept to nodes where sessions play";
+    EXPECT_EQ(events.ended_count + events.lost_count, 0);
+    EXPECT_EQ(synced_count(), std::size_t(kNodes));
 }
-TEST_F(ManyNodes, NodesThatRestartInALoopEndTheirOwnSessionsOnly) {
+TEST_F(ManyNodes, NodesThatRestartInALoopEndOnlyTheirOwnSessions) {
     for (int round = 0; round < 5; ++round) {
         for (int k = 0; k < 10; ++k) nodes[static_cast<std::size_t>(k)]->crash();
         run(400);
         for (int k = 0; k < 10; ++k) nodes[static_cast<std::size_t>(k)]->start(true);
         run(600);
-        // Set up in the new life, before or after its stream is back: it is that life's.
+        // Set up in the new incarnation, before or after its stream is back: the session belongs to it.
         for (int k = 0; k < 10; ++k) set_up(static_cast<ServerId>(k));
         run(1500);
     }
-    EXPECT_EQ(heard.over_, 10 * kEach + 4 * 10);
-    EXPECT_EQ(heard.lost_, 0);
-    EXPECT_EQ(link->attempt_count(), std::size_t((kNodes - 10) * kEach + 10));
-    EXPECT_EQ(live(), std::size_t(kNodes));
-    EXPECT_GE(heard.lives, 50);
+    EXPECT_EQ(events.ended_count, 10 * kSessionsPerNode + 4 * 10);
+    EXPECT_EQ(events.lost_count, 0);
+    EXPECT_EQ(client->attempt_count(), std::size_t((kNodes - 10) * kSessionsPerNode + 10));
+    EXPECT_EQ(synced_count(), std::size_t(kNodes));
+    EXPECT_GE(events.incarnations, 50);
 }
-TEST_F(ManyNodes, ADirectorThatStoodStillBlamesNoNode) {
-    const auto before = link->counts();
-    world.stall(there, true);
-    run(20000);  // far beyond silence
-    world.stall(there, false);
+TEST_F(ManyNodes, AStalledDirectorDropsNoStream) {
+    const auto before = client->counts();
+    world.stall(director_loop, true);
+    run(20000);  // far longer than the silence timeout
+    world.stall(director_loop, false);
     run(100);
-    EXPECT_EQ(link->counts().streams_lost, before.streams_lost);
-    EXPECT_EQ(heard.over_ + heard.lost_, 0);
+    EXPECT_EQ(client->counts().streams_lost, before.streams_lost);
+    EXPECT_EQ(events.ended_count + events.lost_count, 0);
 }
-TEST_F(ManyNodes, ASilentNodesSessionsAreDoubtfulUntilItSpeaks) {
+TEST_F(ManyNodes, SessionsOfASilentNodeAreInDoubtUntilItAnswers) {
     nodes[0]->hang(true);
     run(60000);
-    EXPECT_EQ(heard.lost_, kEach);
-    EXPECT_EQ(link->in_doubt_count(), std::size_t(kEach));
-    EXPECT_EQ(heard.released_, 0);
+    EXPECT_EQ(events.lost_count, kSessionsPerNode);
+    EXPECT_EQ(client->in_doubt_count(), std::size_t(kSessionsPerNode));
+    EXPECT_EQ(events.released_count, 0);
     nodes[0]->hang(false);
     run(10000);
-    EXPECT_EQ(heard.released_, kEach);
-    EXPECT_EQ(link->in_doubt_count(), 0u);
-    EXPECT_EQ(nodes[0]->sessions(), 0u) << "they are ended there: their viewers were told so";
+    EXPECT_EQ(events.released_count, kSessionsPerNode);
+    EXPECT_EQ(client->in_doubt_count(), 0u);
+    EXPECT_EQ(nodes[0]->sessions(), 0u) << "they must end there: their viewers were told so";
 }
-TEST_F(ManyNodes, ANodeOfAnEarlierProtocolIsToldAndGetsNothing) {
-    http::Server old(rig, {"127.0.0.1", 7000}, {}, [](const http::ExchangePtr& e) {
+TEST_F(ManyNodes, ANodeOfAnEarlierProtocolIsReportedAndGetsNoSetUps) {
+    http::Server old(node_loop, {"127.0.0.1", 7000}, {}, [](const http::ExchangePtr& e) {
         static std::vector<http::ExchangePtr> streams;
         e->start(200, {});
         e->write("{\"event\":\"hello\",\"node\":\"o\",\"boot\":\"1\",\"protocol\":1}\n");
         streams.push_back(e);
         e->on_gone([] { streams.clear(); });
     });
-    std::vector<std::string> remarks;
-    link->on_warning = [&](const std::string& text) { remarks.push_back(text); };
-    all[9999] = {"127.0.0.1", 7000};
-    link->set_nodes(all);
+    std::vector<std::string> warnings;
+    client->on_warning = [&](const std::string& text) { warnings.push_back(text); };
+    listed[9999] = {"127.0.0.1", 7000};
+    client->set_nodes(listed);
     run(30000);
-    ASSERT_EQ(remarks.size(), 1u);
-    EXPECT_NE(remarks[0].find("speaks protocol 1; 2 is needed"), std::string::npos);
+    ASSERT_EQ(warnings.size(), 1u);
+    EXPECT_NE(warnings[0].find("speaks protocol 1; 2 is needed"), std::string::npos);
     set_up(9999);
     run(100);
-    EXPECT_EQ(heard.outcomes[Outcome::not_sent], 1);
-    all.erase(9999);
-    link->set_nodes(all);
+    EXPECT_EQ(events.outcomes[Outcome::not_sent], 1);
+    listed.erase(9999);
+    client->set_nodes(listed);
     run(100);
 }
 
