--- a/src/discovery/srv/srv.hpp
+++ b/src/discovery/srv/srv.hpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "decide/polling.hpp"
+#include "decide/poll_schedule.hpp"
 #include "io/loop.hpp"
 #include "ivyfield/director.hpp"
 
@@ -74,13 +74,13 @@
     std::uint32_t serial_;
     std::string last_answer_;  // bytes of the newest list, without the id of its query; empty: none yet
     Events events_;
-    std::unique_ptr<io::Datagram> socket_;
+    std::unique_ptr<io::DatagramSocket> socket_;
     struct Query {
         std::uint16_t id;
         io::Time asked;
     };
     std::deque<Query> open_;  // that may still be answered, oldest first
-    decide::Polling polling_;
+    decide::PollSchedule polling_;
     io::Timer next_;
     SrvCounts counts_;
     std::string fault_;
--- a/src/nodes/attempt_tracker.cpp
+++ b/src/nodes/attempt_tracker.cpp
@@ -22,15 +22,15 @@
     const AttemptKey key = it->first;
     const State state = it->second.state;
     if (state == State::playing) playing_count_ -= 1;
-    in_doubt_.erase(key);
+    unreleased_.erase(key);
     entries_.erase(it);
-    out.push_back({state == State::in_doubt ? AttemptChange::Kind::released : AttemptChange::Kind::ended, key,
-                   outcome});
+    out.push_back({state == State::unreleased ? AttemptChange::Kind::released : AttemptChange::Kind::ended,
+                   key, outcome});
 }
-void AttemptTracker::mark_in_doubt(std::map<AttemptKey, Entry>::iterator it) {
+void AttemptTracker::mark_unreleased(std::map<AttemptKey, Entry>::iterator it) {
     if (it->second.state == State::playing) playing_count_ -= 1;
-    it->second.state = State::in_doubt;
-    in_doubt_.insert(it->first);
+    it->second.state = State::unreleased;
+    unreleased_.insert(it->first);
 }
 
 // ---- Set-ups ----
@@ -70,7 +70,7 @@
         remove_ended(it, outcome, out);
         return out;
     }
-    mark_in_doubt(it);
+    mark_unreleased(it);
     out.push_back({AttemptChange::Kind::lost, key, outcome});
     return out;
 }
@@ -80,7 +80,7 @@
     const auto it = entries_.find(key);
     if (it == entries_.end() || it->second.state != State::pending) return out;
     const bool end_reported = it->second.end_reported;
-    mark_in_doubt(it);
+    mark_unreleased(it);
     if (end_reported) remove_ended(it, Outcome::cancelled, out);
     return out;
 }
@@ -129,19 +129,19 @@
     listed_.insert(key);
     const auto it = entries_.find(key);
     if (it == entries_.end()) out.push_back({AttemptChange::Kind::orphaned, key});
-    else if (it->second.state == State::in_doubt) out.push_back({AttemptChange::Kind::cancel, key});
+    else if (it->second.state == State::unreleased) out.push_back({AttemptChange::Kind::cancel, key});
     return out;
 }
 
 void AttemptTracker::resolve_orphan(AttemptKey key, std::uint64_t start_seq, bool reclaimed) {
     Entry entry;
-    entry.state = reclaimed ? State::playing : State::in_doubt;
+    entry.state = reclaimed ? State::playing : State::unreleased;
     entry.boot = boot_, entry.start_seq = start_seq, entry.answered_at = ++local_order_;
     if (!entries_.emplace(key, entry).second)
         throw std::logic_error("session " + std::to_string(key.first) +
                                " has an orphaned attempt that is tracked already");
     if (reclaimed) playing_count_ += 1;
-    else in_doubt_.insert(key);
+    else unreleased_.insert(key);
 }
 
 AttemptTracker::Changes AttemptTracker::finish_sync(std::uint64_t seq) {
@@ -197,7 +197,7 @@
     Changes out;
     for (auto it = entries_.begin(); it != entries_.end(); ++it) {
         if (it->second.state != State::playing) continue;
-        mark_in_doubt(it);
+        mark_unreleased(it);
         out.push_back({AttemptChange::Kind::lost, it->first, Outcome::reset});
     }
     return out;
@@ -207,7 +207,7 @@
     Changes out;
     for (auto it = entries_.begin(); it != entries_.end();) {
         const auto current = it++;
-        if (current->second.state == State::in_doubt) remove_ended(current, Outcome::reset, out);
+        if (current->second.state == State::unreleased) remove_ended(current, Outcome::reset, out);
     }
     return out;
 }
--- a/src/nodes/attempt_tracker.hpp
+++ b/src/nodes/attempt_tracker.hpp
@@ -100,12 +100,12 @@
     bool empty() const { return entries_.empty(); }
     std::size_t size() const { return entries_.size(); }
     std::size_t playing_count() const { return playing_count_; }
-    std::size_t in_doubt_count() const { return in_doubt_.size(); }
-    const std::set<AttemptKey>& in_doubt() const { return in_doubt_; }
+    std::size_t unreleased_count() const { return unreleased_.size(); }
+    const std::set<AttemptKey>& unreleased() const { return unreleased_; }
     bool is_playing(AttemptKey key) const;
 
   private:
-    enum class State { pending, playing, in_doubt };
+    enum class State { pending, playing, unreleased };
     struct Entry {
         State state = State::pending;
         std::string boot;               // playing, or in doubt after playing: the incarnation it played in
@@ -120,7 +120,7 @@
     };
     // Removes the entry and appends its end, or its release if it was in doubt.
     void remove_ended(std::map<AttemptKey, Entry>::iterator it, Outcome outcome, Changes& out);
-    void mark_in_doubt(std::map<AttemptKey, Entry>::iterator it);
+    void mark_unreleased(std::map<AttemptKey, Entry>::iterator it);
 
     std::string boot_;                    // the incarnation named by the latest hello
     std::deque<std::string> past_boots_;  // earlier incarnations, oldest first
@@ -131,7 +131,7 @@
     bool has_snapshot_ = false, in_snapshot_ = false, syncing_ = false;
     std::set<AttemptKey> listed_;  // attempts of the snapshot being received
     std::map<AttemptKey, Entry> entries_;
-    std::set<AttemptKey> in_doubt_;
+    std::set<AttemptKey> unreleased_;
     std::size_t playing_count_ = 0;
 };
 
--- a/src/nodes/client.cpp
+++ b/src/nodes/client.cpp
@@ -86,23 +86,24 @@
 
 // Reads a "plays" event of a session that this run of the director did not set up. Throws if a field is
 // missing or has the wrong type.
-core::FoundPlaying parse_orphan(const json& event, ServerId server, const Settings& settings) {
+core::OrphanedSession parse_orphan(const json& event, ServerId server, const Settings& settings) {
     const auto index_of = [](const auto& all, const std::string& name) {
         for (std::size_t k = 0; k < all.size(); ++k)
             if (all[k].name == name) return static_cast<int>(k);
         return -1;
     };
-    core::FoundPlaying out;
+    core::OrphanedSession out;
     out.session = event.at("session").get<SessionId>();
     out.attempt = event.at("attempt").get<int>();
     out.server = server;
     out.rung = event.at("rung").get<int>();
-    out.ask.sid = event.at("sid").get<std::string>();
-    out.ask.title_name = event.at("title").get<std::string>();
-    out.ask.title = core::title_id(out.ask.title_name);
-    out.ask.cls = index_of(settings.classes, event.at("class").get<std::string>());
-    out.ask.tenant = settings.tenants.empty() ? 0 : index_of(settings.tenants, event.value("tenant", ""));
-    if (out.ask.cls >= 0) out.ask.top_rung = settings.classes[static_cast<std::size_t>(out.ask.cls)].top;
+    out.request.sid = event.at("sid").get<std::string>();
+    out.request.title_name = event.at("title").get<std::string>();
+    out.request.title = core::compute_title_id(out.request.title_name);
+    out.request.cls = index_of(settings.classes, event.at("class").get<std::string>());
+    out.request.tenant = settings.tenants.empty() ? 0 : index_of(settings.tenants, event.value("tenant", ""));
+    if (out.request.cls >= 0)
+        out.request.top_rung = settings.classes[static_cast<std::size_t>(out.request.cls)].max_rung;
     out.media.url = event.at("media").get<std::string>();
     out.media.renditions = parse_renditions(event, settings.rung_kb.size());
     return out;
@@ -161,9 +162,9 @@
     for (const auto& [id, node] : nodes_) n += node->tracker.size();
     return n;
 }
-std::size_t NodeClient::in_doubt_count() const {
+std::size_t NodeClient::unreleased_count() const {
     std::size_t n = 0;
-    for (const auto& [id, node] : nodes_) n += node->tracker.in_doubt_count();
+    for (const auto& [id, node] : nodes_) n += node->tracker.unreleased_count();
     return n;
 }
 
@@ -198,7 +199,7 @@
     http::CallOptions options;
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;
-    options.fresh = true;
+    options.new_connection = true;
     Node* const node_ptr = &node;
     options.on_head = [this, node_ptr](const http::Response& head) {
         finish_dial(*node_ptr);
@@ -225,11 +226,12 @@
     node.sync_timer = loop_.after(limits_.connect_timeout + limits_.sync_timeout,
                                   [this, node_ptr] { handle_stream_loss(*node_ptr, false); });
     node.tracker.record_stream_request();
-    node.stream = client_.send(node.address, std::move(request), std::move(options),
-                               [this, node_ptr](const http::CallResult& result) {
-                                   handle_stream_loss(*node_ptr, result.end == http::CallEnd::not_connected &&
-                                                                     result.closing == io::Closing::refused);
-                               });
+    node.stream =
+        client_.send(node.address, std::move(request), std::move(options),
+                     [this, node_ptr](const http::CallResult& result) {
+                         handle_stream_loss(*node_ptr, result.outcome == http::CallOutcome::not_connected &&
+                                                           result.close_reason == io::CloseReason::refused);
+                     });
 }
 
 void NodeClient::record_activity(Node& node) {
@@ -268,7 +270,7 @@
         node.last_heard = loop_.now();
         const auto changes = node.tracker.record_refused_dial();
         counts_.reconciled += changes.size();
-        events_->life(id, loop_.now());
+        events_->on_node_incarnation(id, loop_.now());
         apply_changes(id, changes);
     }
 }
@@ -331,15 +333,15 @@
             const auto changes = node.tracker.begin_sync(boot, full);
             counts_.reconciled += changes.size();
             const double age = event.value("age_ms", 0.0);
-            events_->life(server, loop_.now() - std::max(0.0, age));
+            events_->on_node_incarnation(server, loop_.now() - std::max(0.0, age));
             apply_changes(server, changes);
         } else if (kind == "plays") {
             const auto changes = node.tracker.add_listed(key());
             const bool orphaned = !changes.empty() && changes.front().kind == AttemptChange::Kind::orphaned;
             if (!orphaned) return apply_changes(server, changes);
-            const core::FoundPlaying orphan = parse_orphan(event, server, settings_);
+            const core::OrphanedSession orphan = parse_orphan(event, server, settings_);
             const auto start_seq = event.at("seq").get<std::uint64_t>();
-            const bool reclaimed = events_->found(orphan);
+            const bool reclaimed = events_->reclaim_session(orphan);
             counts_.orphaned += 1;
             node.tracker.resolve_orphan(key(), start_seq, reclaimed);
             if (reclaimed) return;
@@ -370,7 +372,7 @@
                                   : kind == "link"    ? NoteKind::link
                                                       : NoteKind::uplink;
             const double value = event.at("value").get<double>();
-            events_->note(key().first, key().second, server, note, value);
+            events_->on_session_note(key().first, key().second, server, note, value);
         }  // "tick" and events that later versions add only show that the node is alive
     } catch (const std::exception&) {
         counts_.malformed_lines += 1;
@@ -383,17 +385,17 @@
         const auto [session, attempt] = change.key;
         switch (change.kind) {
             case AttemptChange::Kind::started:
-                events_->started(session, attempt, media);
+                events_->on_attempt_started(session, attempt, media);
                 break;
             case AttemptChange::Kind::ended:
-                events_->over(session, attempt, change.outcome, {});
+                events_->on_attempt_ended(session, attempt, change.outcome, {});
                 break;
             case AttemptChange::Kind::lost:
-                events_->lost(session, attempt, change.outcome);
+                events_->on_attempt_lost(session, attempt, change.outcome);
                 break;
             case AttemptChange::Kind::released:
                 counts_.released += 1;
-                events_->released(session, attempt);
+                events_->on_attempt_released(session, attempt);
                 break;
             case AttemptChange::Kind::cancel:
                 break;  // released below
@@ -441,9 +443,10 @@
             Node& current = *it->second;
             const std::shared_ptr<http::Call> finished_call(std::move(current.release_call));
             loop_.post([finished_call] {});
-            const bool answered = result.end == http::CallEnd::response && result.response.status == 200;
-            const bool refused =
-                result.end == http::CallEnd::not_connected && result.closing == io::Closing::refused;
+            const bool answered =
+                result.outcome == http::CallOutcome::response && result.response.status == 200;
+            const bool refused = result.outcome == http::CallOutcome::not_connected &&
+                                 result.close_reason == io::CloseReason::refused;
             const auto requested = std::move(current.releasing);
             current.releasing.clear();
             if (answered || refused) {
@@ -455,7 +458,7 @@
                 return;
             }
             for (const AttemptKey& key : requested)
-                if (current.tracker.in_doubt().count(key) || current.tracker.is_playing(key))
+                if (current.tracker.unreleased().count(key) || current.tracker.is_playing(key))
                     current.to_release.insert(key);
             current.release_delay =
                 std::clamp(current.release_delay * 2, limits_.release_retry_delay, limits_.max_redial_delay);
@@ -468,21 +471,23 @@
 
 // ---- Requests to nodes ----
 
-void NodeClient::set_up(const core::SetUp& setup) {
+void NodeClient::set_up(const core::SetupRequest& setup) {
     counts_.setups += 1;
     const AttemptKey key{setup.session, setup.attempt};
     const auto it = nodes_.find(setup.server);
     if (it == nodes_.end() || it->second->outdated) {
-        loop_.post([this, key] { events_->over(key.first, key.second, Outcome::not_sent, {}); });
+        loop_.post([this, key] { events_->on_attempt_ended(key.first, key.second, Outcome::not_sent, {}); });
         return;
     }
     const ServerId server = setup.server;
-    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(setup.ask.cls)];
-    json body = {{"protocol", kProtocol},    {"director", director_},         {"session", setup.session},
-                 {"attempt", setup.attempt}, {"sid", setup.ask.sid},          {"class", cls.name},
-                 {"rung", setup.rung},       {"title", setup.ask.title_name}, {"paid", setup.paid}};
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(setup.request.cls)];
+    json body = {{"protocol", kProtocol},    {"director", director_},
+                 {"session", setup.session}, {"attempt", setup.attempt},
+                 {"sid", setup.request.sid}, {"class", cls.name},
+                 {"rung", setup.rung},       {"title", setup.request.title_name},
+                 {"paid", setup.paid}};
     if (!settings_.tenants.empty())
-        body["tenant"] = settings_.tenants[static_cast<std::size_t>(setup.ask.tenant)].name;
+        body["tenant"] = settings_.tenants[static_cast<std::size_t>(setup.request.tenant)].name;
     http::Request request;
     request.method = "POST";
     request.target = "/v1/sessions";
@@ -492,7 +497,7 @@
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;  // the engine cancels the set-up when it expires
     // A pooled connection may be closed by the node at this moment, which would leave a paid set-up in doubt.
-    options.fresh = setup.paid;
+    options.new_connection = setup.paid;
     it->second->tracker.record_request(key);
     setup_calls_[key] = client_.send(
         it->second->address, std::move(request), std::move(options),
@@ -504,13 +509,13 @@
                 throw std::logic_error("a node was removed while one of its set-ups was pending");
             AttemptTracker& tracker = state->second->tracker;
             Outcome outcome = Outcome::error;
-            if (result.end == http::CallEnd::not_connected) outcome = Outcome::not_connected;
-            else if (result.end == http::CallEnd::broke) outcome = Outcome::reset;
-            else if (result.end == http::CallEnd::timed_out) outcome = Outcome::timed_out;
-            else if (result.end == http::CallEnd::response && result.response.status == 503 &&
+            if (result.outcome == http::CallOutcome::not_connected) outcome = Outcome::not_connected;
+            else if (result.outcome == http::CallOutcome::connection_lost) outcome = Outcome::reset;
+            else if (result.outcome == http::CallOutcome::timed_out) outcome = Outcome::timed_out;
+            else if (result.outcome == http::CallOutcome::response && result.response.status == 503 &&
                      result.response.headers.get("X-Ivyfield-Unseen") == "1")
                 outcome = Outcome::full;
-            if (result.end == http::CallEnd::response && result.response.status == 200) {
+            if (result.outcome == http::CallOutcome::response && result.response.status == 200) {
                 const json answer = json::parse(result.response.body, nullptr, false);
                 const auto text = [&answer](const char* field) {
                     const bool has_field = answer.is_object() && answer.contains(field);
@@ -574,10 +579,10 @@
     const auto it = nodes_.find(server);
     AttemptTracker::Changes changes;
     if (it != nodes_.end()) changes = it->second->tracker.cancel(key);
-    const bool may_play = it != nodes_.end() &&
-                          (it->second->tracker.in_doubt().count(key) || it->second->tracker.is_playing(key));
+    const bool may_play = it != nodes_.end() && (it->second->tracker.unreleased().count(key) ||
+                                                 it->second->tracker.is_playing(key));
     if (!may_play) {  // nothing is left at the node
-        loop_.post([this, session, attempt] { events_->released(session, attempt); });
+        loop_.post([this, session, attempt] { events_->on_attempt_released(session, attempt); });
         return;
     }
     it->second->to_release.insert(key);
@@ -587,7 +592,7 @@
 void NodeClient::probe(ServerId server) {
     const auto it = nodes_.find(server);
     if (it == nodes_.end()) {
-        loop_.post([this, server] { events_->probed(server, Outcome::not_connected, 0, {}); });
+        loop_.post([this, server] { events_->on_probe_result(server, Outcome::not_connected, 0, {}); });
         return;
     }
     http::Request request;
@@ -603,18 +608,18 @@
                          command_calls_.erase(id);
                          Outcome outcome = Outcome::error;
                          LoadReport report;
-                         if (result.end == http::CallEnd::response && result.response.status == 200) {
+                         if (result.outcome == http::CallOutcome::response && result.response.status == 200) {
                              const json load = json::parse(result.response.body, nullptr, false);
                              if (load.is_object())
                                  outcome = Outcome::ended, report = parse_load_report(load, settings_);
-                         } else if (result.end == http::CallEnd::not_connected) {
+                         } else if (result.outcome == http::CallOutcome::not_connected) {
                              outcome = Outcome::not_connected;
-                         } else if (result.end == http::CallEnd::timed_out) {
+                         } else if (result.outcome == http::CallOutcome::timed_out) {
                              outcome = Outcome::timed_out;
-                         } else if (result.end == http::CallEnd::broke) {
+                         } else if (result.outcome == http::CallOutcome::connection_lost) {
                              outcome = Outcome::reset;
                          }
-                         events_->probed(server, outcome, result.waited, report);
+                         events_->on_probe_result(server, outcome, result.elapsed, report);
                      });
 }
 
--- a/src/nodes/client.hpp
+++ b/src/nodes/client.hpp
@@ -74,17 +74,17 @@
     // Sets the listed nodes. Others are kept while attempts of this director may be left there.
     void set_nodes(const std::map<ServerId, io::Address>& listed);
 
-    void set_up(const core::SetUp& setup) override;
+    void set_up(const core::SetupRequest& setup) override;
     void set_rung(ServerId server, SessionId session, int attempt, int rung) override;
     void move(ServerId server, SessionId session, int attempt) override;
     void cancel(ServerId server, SessionId session, int attempt) override;
     void probe(ServerId server) override;
 
     const NodeClientCounts& counts() const { return counts_; }
-    std::size_t connection_count() const { return client_.open(); }
+    std::size_t connection_count() const { return client_.open_connections(); }
     std::map<StreamState, std::size_t> count_streams() const;
     std::size_t attempt_count() const;  // tracked attempts of all nodes
-    std::size_t in_doubt_count() const;
+    std::size_t unreleased_count() const;
 
     struct Node;
 
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-#include "decide/endings.hpp"
+#include "decide/session_end.hpp"
 
 namespace ivyfield::nodes {
 
@@ -43,7 +43,7 @@
     io::Time dialled_at = 0, last_used = 0;
     // At most one, unless the limit of connections forces set-ups to share one.
     struct PendingSetup {
-        core::SetUp setup;
+        core::SetupRequest setup;
         bool sent = false;
     };
     std::map<SessionId, PendingSetup> pending_setups;
@@ -61,8 +61,8 @@
     bool is_idle() const { return pending_setups.empty() && !probing && !closing; }
     void on_open() override { owner.handle_connected(*this); }
     void on_data(std::string_view bytes) override { owner.handle_data(*this, bytes); }
-    void on_end() override { owner.handle_closed(*this, true, io::Closing::clean); }
-    void on_closed(io::Closing reason) override { owner.handle_closed(*this, connected, reason); }
+    void on_end() override { owner.handle_closed(*this, true, io::CloseReason::clean); }
+    void on_closed(io::CloseReason reason) override { owner.handle_closed(*this, connected, reason); }
 };
 
 struct RelayNodes::Node {
@@ -72,7 +72,7 @@
     std::list<std::unique_ptr<Connection>> connections;
     std::map<SessionId, EstablishedSession> established;
     std::deque<NodeMessage> unsent_ends;  // ends of sessions that wait for a connection to the node
-    decide::Presence presence;
+    decide::FailureDetector failure_detector;
     // connection_lost: an established connection was lost. The node reports what has ended since then on the
     // next connection that is opened.
     bool connection_lost = false, redial_pending = false;
@@ -120,7 +120,8 @@
 void RelayNodes::adopt_session(ServerId server, SessionId session, int attempt) {
     Node* node = find(server);
     if (!node) {
-        loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::reset, {}); });
+        loop_.post(
+            [this, session, attempt] { events_->on_attempt_ended(session, attempt, Outcome::reset, {}); });
         return;
     }
     node->established[session] = {attempt};
@@ -200,7 +201,7 @@
     if (connection.connected)
         connection.node.connection_lost = true, connection.node.connection_lost_at = loop_.now();
     for (const auto& [when, message] : connection.recent_ends)
-        if (decide::may_have_crossed(loop_.now() - when)) connection.node.unsent_ends.push_back(message);
+        if (decide::can_have_crossed(loop_.now() - when)) connection.node.unsent_ends.push_back(message);
     remove_connection(connection);
 }
 
@@ -231,7 +232,7 @@
         return;
     }
     while (!most_recent->recent_ends.empty() &&
-           !decide::may_have_crossed(loop_.now() - most_recent->recent_ends.front().first))
+           !decide::can_have_crossed(loop_.now() - most_recent->recent_ends.front().first))
         most_recent->recent_ends.pop_front();
     most_recent->recent_ends.emplace_back(loop_.now(), message);
     send(*most_recent, message);
@@ -252,7 +253,7 @@
     // A connection dialled at the moment of the loss does not count: it may be established before the node
     // knows that the lost one is gone.
     if (connection.dialled_at > node.connection_lost_at) node.connection_lost = false;
-    node.presence.heard(loop_.now());
+    node.failure_detector.record_activity(loop_.now());
     std::vector<SessionId> unsent;
     for (const auto& [id, pending] : connection.pending_setups)
         if (!pending.sent) unsent.push_back(id);
@@ -271,7 +272,7 @@
 
 void RelayNodes::send_setup(Connection& connection, SessionId session) {
     Connection::PendingSetup& pending = connection.pending_setups.at(session);
-    const core::SetUp& setup = pending.setup;
+    const core::SetupRequest& setup = pending.setup;
     // The list may have changed while the connection was being established: a draining node gets no new
     // set-ups.
     if (!connection.node.listed || !connection.node.info.ready || setup.expires <= loop_.now())
@@ -282,28 +283,29 @@
     const auto put = [&](ParameterCode code, std::string text) {
         message.parameters[static_cast<int>(code)] = std::move(text);
     };
-    put(ParameterCode::cls, setup.ask.cls_name);
-    put(ParameterCode::title, setup.ask.title_name);
+    put(ParameterCode::cls, setup.request.cls_name);
+    put(ParameterCode::title, setup.request.title_name);
     put(ParameterCode::wait, std::to_string(std::max(1LL, std::llround(setup.expires - loop_.now()))));
     put(ParameterCode::rung, std::to_string(setup.rung));
-    put(ParameterCode::sdp, setup.ask.description);
+    put(ParameterCode::sdp, setup.request.description);
     pending.sent = true;
     counts_.setups += 1;
     send(connection, message);
 }
 
 // Handles a dial that failed, or a connection that was closed or broke.
-void RelayNodes::handle_closed(Connection& connection, bool was_connected, io::Closing reason) {
+void RelayNodes::handle_closed(Connection& connection, bool was_connected, io::CloseReason reason) {
     if (connection.removed) return;
-    const bool refused = reason == io::Closing::refused, no_descriptors = reason == io::Closing::no_resources;
+    const bool refused = reason == io::CloseReason::refused,
+               no_descriptors = reason == io::CloseReason::no_resources;
     Node& node = connection.node;
-    if (connection.closing && reason == io::Closing::clean)
+    if (connection.closing && reason == io::CloseReason::clean)
         return remove_connection(connection);  // the node has sent everything and closed it too
     lose_connection(connection);               // owned by removed_connections_ until this returns to the loop
     counts_.resets += was_connected;
     // A lack of file descriptors in this process says nothing about the node.
     const bool lost = !was_connected && !no_descriptors &&
-                      node.presence.dial_failed(connection.dialled_at, loop_.now(), refused);
+                      node.failure_detector.record_dial_failure(connection.dialled_at, loop_.now(), refused);
     while (!connection.pending_setups.empty()) {
         const bool sent = connection.pending_setups.begin()->second.sent;
         finish_setup(connection, connection.pending_setups.begin()->first,
@@ -353,12 +355,12 @@
 // Dials the node when it has been silent for too long, unless a dial is already in progress.
 void RelayNodes::schedule_presence_check(Node& node) {
     const ServerId id = node.id;
-    node.presence_timer = loop_.at(node.presence.look_at(loop_.now()), [this, id] {
+    node.presence_timer = loop_.at(node.failure_detector.next_check_at(loop_.now()), [this, id] {
         Node* current = find(id);
         if (!current || current->established.empty() || !current->listed) return;
         const bool connecting = std::any_of(current->connections.begin(), current->connections.end(),
                                             [](const auto& connection) { return !connection->connected; });
-        if (current->presence.silent(loop_.now()) && !connecting)
+        if (current->failure_detector.is_silent(loop_.now()) && !connecting)
             open_connection(*current).is_presence_check = true;
         schedule_presence_check(*current);
     });
@@ -376,7 +378,7 @@
         NodeMessage message;
         message.type = MessageType::release, message.session = session, message.cause = relay::kCauseGivenUp;
         send_to_node(node, message);
-        events_->over(session, established.attempt, Outcome::reset, {});
+        events_->on_attempt_ended(session, established.attempt, Outcome::reset, {});
     }
 }
 
@@ -401,10 +403,12 @@
 
 // ---- Calls of the engine ----
 
-void RelayNodes::set_up(const core::SetUp& setup) {
+void RelayNodes::set_up(const core::SetupRequest& setup) {
     Node* node = find(setup.server);
     if (!node || !node->listed || !node->info.ready) {
-        loop_.post([this, setup] { events_->over(setup.session, setup.attempt, Outcome::not_sent, {}); });
+        loop_.post([this, setup] {
+            events_->on_attempt_ended(setup.session, setup.attempt, Outcome::not_sent, {});
+        });
         return;
     }
     Connection* connection = find_idle(*node, true);
@@ -416,7 +420,9 @@
                 connection = candidate.get();
         if (!connection) {
             // Nothing was sent, and the node is not at fault.
-            loop_.post([this, setup] { events_->over(setup.session, setup.attempt, Outcome::not_sent, {}); });
+            loop_.post([this, setup] {
+                events_->on_attempt_ended(setup.session, setup.attempt, Outcome::not_sent, {});
+            });
             return;
         }
         counts_.shared_connections += 1;
@@ -445,11 +451,11 @@
 
 void RelayNodes::finish_setup(Connection& connection, SessionId session, Outcome outcome,
                               const LoadReport& report) {
-    const core::SetUp setup = std::move(connection.pending_setups.at(session).setup);
+    const core::SetupRequest setup = std::move(connection.pending_setups.at(session).setup);
     connection.pending_setups.erase(session);
     // Posted: the engine must not be notified from within one of its own calls.
     loop_.post([this, session = setup.session, attempt = setup.attempt, outcome, report] {
-        events_->over(session, attempt, outcome, report);
+        events_->on_attempt_ended(session, attempt, outcome, report);
     });
 }
 
@@ -481,7 +487,8 @@
     Node* node = find(server);
     if (!node || !node->established.erase(session)) return;
     send_end(*node, MessageType::move, session);
-    loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::cancelled, {}); });
+    loop_.post(
+        [this, session, attempt] { events_->on_attempt_ended(session, attempt, Outcome::cancelled, {}); });
     maintain_connection(*node);
 }
 
@@ -504,20 +511,21 @@
     }
     if (!node->established.erase(session)) return;
     send_end(*node, MessageType::release, session);
-    loop_.post([this, session, attempt] { events_->over(session, attempt, Outcome::cancelled, {}); });
+    loop_.post(
+        [this, session, attempt] { events_->on_attempt_ended(session, attempt, Outcome::cancelled, {}); });
     maintain_connection(*node);
 }
 
 void RelayNodes::probe(ServerId server) {
     Node* node = find(server);
     if (!node || !node->listed) {
-        loop_.post([this, server] { events_->probed(server, Outcome::not_connected, 0, {}); });
+        loop_.post([this, server] { events_->on_probe_result(server, Outcome::not_connected, 0, {}); });
         return;
     }
     Connection* connection = find_idle(*node, true);
     const bool was_connected = connection != nullptr;
     if (!connection && !make_room()) {  // the outcome says nothing about the node
-        loop_.post([this, server] { events_->probed(server, Outcome::full, 0, {}); });
+        loop_.post([this, server] { events_->on_probe_result(server, Outcome::full, 0, {}); });
         return;
     }
     if (!connection) connection = &open_connection(*node);
@@ -543,7 +551,7 @@
     connection.probe_timer.stop();
     loop_.post([this, server = connection.node.id, outcome,
                 waited = loop_.now() - connection.probe_started_at,
-                report] { events_->probed(server, outcome, waited, report); });
+                report] { events_->on_probe_result(server, outcome, waited, report); });
 }
 
 // ---- Messages of nodes ----
@@ -565,7 +573,7 @@
 }
 
 void RelayNodes::handle_data(Connection& connection, std::string_view bytes) {
-    connection.node.presence.heard(loop_.now());
+    connection.node.failure_detector.record_activity(loop_.now());
     // Reset on data only: that a connection is established is no sign that the next one will last.
     connection.node.redial_delay = kMinRedialDelay;
     connection.last_used = loop_.now();
@@ -582,7 +590,7 @@
             if (on_warning)
                 on_warning("node " + connection.node.info.uid +
                            " sent a malformed message: " + error->reason);
-            return handle_closed(connection, true, io::Closing::reset);
+            return handle_closed(connection, true, io::CloseReason::reset);
         }
         handle_message(connection, std::get<NodeMessage>(*result));
     }
@@ -594,7 +602,7 @@
     const int attempt = it->second.attempt;
     node.established.erase(it);
     maintain_connection(node);
-    events_->over(session, attempt, outcome, report);
+    events_->on_attempt_ended(session, attempt, outcome, report);
 }
 
 // Establishes the session of a set-up that is pending on the connection. Returns false if the answer is
@@ -603,18 +611,18 @@
     const std::string* sdp = message.find(ParameterCode::sdp);
     if (!sdp || !relay::is_utf8(*sdp)) {
         counts_.malformed += 1;
-        handle_closed(connection, true, io::Closing::reset);
+        handle_closed(connection, true, io::CloseReason::reset);
         return false;
     }
     Node& node = connection.node;
     const auto pending = connection.pending_setups.find(message.session);
-    const core::SetUp setup = std::move(pending->second.setup);
+    const core::SetupRequest setup = std::move(pending->second.setup);
     connection.pending_setups.erase(pending);
     node.established[setup.session] = {setup.attempt};
     maintain_connection(node);
     core::Media media;
     media.description = *sdp;
-    events_->started(setup.session, setup.attempt, media);
+    events_->on_attempt_started(setup.session, setup.attempt, media);
     return true;
 }
 
@@ -683,7 +691,8 @@
                                   : *note_name == "asked" ? NoteKind::link
                                   : *note_name == "rack"  ? NoteKind::uplink
                                                           : NoteKind::other;
-            return events_->note(message.session, established->second.attempt, node.id, kind, *value);
+            return events_->on_session_note(message.session, established->second.attempt, node.id, kind,
+                                            *value);
         }
         case MessageType::progress:
         case MessageType::released:
--- a/src/nodes/relay/nodes.hpp
+++ b/src/nodes/relay/nodes.hpp
@@ -10,7 +10,7 @@
 // An established session is not tied to a connection; messages about it may come on any connection of its
 // node. A connection is kept open to each node with established sessions, since their ends are reported on
 // it. A refused dial means that the process is gone and its sessions with it. A machine that vanishes gives
-// no sign: decide::Presence says when a silent node is dialled, and when it is gone.
+// no sign: decide::FailureDetector says when a silent node is dialled, and when it is gone.
 #pragma once
 
 #include <list>
@@ -19,7 +19,7 @@
 #include <set>
 
 #include "core/ports.hpp"
-#include "decide/presence.hpp"
+#include "decide/failure_detector.hpp"
 #include "io/loop.hpp"
 #include "relay/message.hpp"
 
@@ -59,12 +59,12 @@
     // Takes over a session that is already established at the node.
     void adopt_session(ServerId server, SessionId session, int attempt);
 
-    void set_up(const core::SetUp& setup) override;
+    void set_up(const core::SetupRequest& setup) override;
     void set_rung(ServerId server, SessionId session, int attempt, int rung) override;
     void move(ServerId server, SessionId session, int attempt) override;
     void cancel(ServerId server, SessionId session, int attempt) override;
     void probe(ServerId server) override;
-    bool cancel_is_final() const override { return true; }
+    bool is_cancel_final() const override { return true; }
 
     // Whether all written data has left this process and no session's end remains to be sent.
     bool is_drained() const;
@@ -92,7 +92,7 @@
     void handle_data(Connection& connection, std::string_view bytes);
     void handle_message(Connection& connection, const relay::NodeMessage& message);
     bool establish_session(Connection& connection, const relay::NodeMessage& message);
-    void handle_closed(Connection& connection, bool was_connected, io::Closing reason);
+    void handle_closed(Connection& connection, bool was_connected, io::CloseReason reason);
     void remove_connection(Connection& connection);
     void close_gracefully(Connection& connection);
     void lose_connection(Connection& connection);
--- a/tests/nodes/attempt_tracker_test.cpp
+++ b/tests/nodes/attempt_tracker_test.cpp
@@ -111,7 +111,7 @@
     for (const Outcome outcome : {Outcome::error, Outcome::reset, Outcome::timed_out}) {
         tracker.record_request({2, 0});
         EXPECT_EQ(kinds_of(tracker.record_failure({2, 0}, outcome)), (ExpectedChanges{{Kind::lost, 2}}));
-        EXPECT_EQ(tracker.in_doubt_count(), 1u);
+        EXPECT_EQ(tracker.unreleased_count(), 1u);
         EXPECT_EQ(kinds_of(tracker.confirm_release({2, 0})), (ExpectedChanges{{Kind::released, 2}}));
     }
 }
@@ -122,7 +122,7 @@
     EXPECT_TRUE(tracker.record_answer({1, 0}, "A", 1).empty()) << "it was cancelled";
     connect_stream("A", 1);
     connect_stream("B", 0);
-    EXPECT_EQ(tracker.in_doubt_count(), 1u) << "its request may still arrive";
+    EXPECT_EQ(tracker.unreleased_count(), 1u) << "its request may still arrive";
     tracker.record_stream_request();
     tracker.begin_sync("B", true);
     EXPECT_EQ(kinds_of(tracker.add_listed({1, 0})), (ExpectedChanges{{Kind::cancel, 1}}));
@@ -320,7 +320,7 @@
                        // arrive
                 if (setups.empty() || !one_in(3)) break;
                 const AttemptKey key = setups[random() % setups.size()].key;
-                if (!cancelled.insert(key).second || tracker.in_doubt().count(key)) break;
+                if (!cancelled.insert(key).second || tracker.unreleased().count(key)) break;
                 awaiting_release.insert(key);
                 apply(tracker.cancel(key));
                 break;
@@ -389,8 +389,8 @@
                 }
                 break;
             case 8:  // a release is sent, handled by the node or answered
-                if (!release && tracker.in_doubt_count() > 0)
-                    release = Release{{tracker.in_doubt().begin(), tracker.in_doubt().end()}, false};
+                if (!release && tracker.unreleased_count() > 0)
+                    release = Release{{tracker.unreleased().begin(), tracker.unreleased().end()}, false};
                 else if (release && !release->answered) {
                     if (!running) {
                         release.reset();  // a refusal would be proof as well; here the release is only lost
@@ -423,7 +423,7 @@
         for (int k = 0; k < 400; ++k) node.step(false);
         for (int k = 0; k < 4000; ++k) node.step(true);
         EXPECT_TRUE(node.awaiting_release.empty()) << "a lost or cancelled attempt was never released";
-        EXPECT_EQ(node.tracker.in_doubt_count(), 0u);
+        EXPECT_EQ(node.tracker.unreleased_count(), 0u);
         EXPECT_EQ(node.tracker.playing_count(), node.plays.size());
         for (const auto& [key, start_seq] : node.plays)
             EXPECT_TRUE(node.tracker.is_playing(key))
--- a/tests/nodes/client_test.cpp
+++ b/tests/nodes/client_test.cpp
@@ -16,16 +16,16 @@
 struct RecordingEvents : core::NodeEvents {
     int started_count = 0, ended_count = 0, lost_count = 0, released_count = 0, incarnations = 0;
     std::map<Outcome, int> outcomes;
-    void started(SessionId, int, const core::Media&) override { started_count += 1; }
-    void over(SessionId, int, Outcome outcome, const LoadReport&) override {
+    void on_attempt_started(SessionId, int, const core::Media&) override { started_count += 1; }
+    void on_attempt_ended(SessionId, int, Outcome outcome, const LoadReport&) override {
         ended_count += 1, outcomes[outcome] += 1;
     }
-    void lost(SessionId, int, Outcome) override { lost_count += 1; }
-    void released(SessionId, int) override { released_count += 1; }
-    void note(SessionId, int, ServerId, NoteKind, double) override {}
-    bool found(const core::FoundPlaying&) override { return false; }
-    void life(ServerId, Time) override { incarnations += 1; }
-    void probed(ServerId, Outcome, Time, const LoadReport&) override {}
+    void on_attempt_lost(SessionId, int, Outcome) override { lost_count += 1; }
+    void on_attempt_released(SessionId, int) override { released_count += 1; }
+    void on_session_note(SessionId, int, ServerId, NoteKind, double) override {}
+    bool reclaim_session(const core::OrphanedSession&) override { return false; }
+    void on_node_incarnation(ServerId, Time) override { incarnations += 1; }
+    void on_probe_result(ServerId, Outcome, Time, const LoadReport&) override {}
 };
 
 struct ManyNodes : testing::Test {
@@ -48,7 +48,7 @@
     void SetUp() override {
         settings.rung_kb = {100};
         ClassSettings c;
-        c.name = "c", c.rate_part = 1;
+        c.name = "c", c.rate_factor = 1;
         settings.classes = {c};
         for (int k = 0; k < kNodes; ++k) {
             standins::NodeSettings s;
@@ -76,9 +76,9 @@
         client.reset();
     }
     void set_up(ServerId server) {
-        core::SetUp request;
+        core::SetupRequest request;
         request.session = ++last_session, request.server = server;
-        request.ask.sid = "s" + std::to_string(last_session), request.ask.title_name = "t";
+        request.request.sid = "s" + std::to_string(last_session), request.request.title_name = "t";
         client->set_up(request);
     }
     void run(double ms) { world.run_until(world.now() + ms); }
@@ -91,9 +91,9 @@
 
 TEST_F(ManyNodes, StreamsLostAllAtOnceAreRedialledAFewAtATimeAndResumed) {
     const auto before = client->counts();
-    world.weather.reset_chance = 1;
+    world.network.reset_probability = 1;
     run(1200);
-    world.weather.reset_chance = 0;
+    world.network.reset_probability = 0;
     EXPECT_LT(synced_count(), 10u);
     const double start = world.now();
     std::size_t max_connecting = 0;
@@ -156,12 +156,12 @@
     nodes[0]->hang(true);
     run(60000);
     EXPECT_EQ(events.lost_count, kSessionsPerNode);
-    EXPECT_EQ(client->in_doubt_count(), std::size_t(kSessionsPerNode));
+    EXPECT_EQ(client->unreleased_count(), std::size_t(kSessionsPerNode));
     EXPECT_EQ(events.released_count, 0);
     nodes[0]->hang(false);
     run(10000);
     EXPECT_EQ(events.released_count, kSessionsPerNode);
-    EXPECT_EQ(client->in_doubt_count(), 0u);
+    EXPECT_EQ(client->unreleased_count(), 0u);
     EXPECT_EQ(nodes[0]->sessions(), 0u) << "they must end there: their viewers were told so";
 }
 TEST_F(ManyNodes, ANodeOfAnEarlierProtocolIsReportedAndGetsNoSetUps) {
@@ -170,7 +170,7 @@
         e->start(200, {});
         e->write("{\"event\":\"hello\",\"node\":\"o\",\"boot\":\"1\",\"protocol\":1}\n");
         streams.push_back(e);
-        e->on_gone([] { streams.clear(); });
+        e->on_disconnect([] { streams.clear(); });
     });
     std::vector<std::string> warnings;
     client->on_warning = [&](const std::string& text) { warnings.push_back(text); };
