--- a/src/nodes/client.cpp
+++ b/src/nodes/client.cpp
@@ -230,7 +230,7 @@
         client_.send(node.address, std::move(request), std::move(options),
                      [this, node_ptr](const http::CallResult& result) {
                          handle_stream_loss(*node_ptr, result.outcome == http::CallOutcome::not_connected &&
-                                                           result.close_reason == io::CloseReason::refused);
+                                                           result.close_status == io::CloseStatus::refused);
                      });
 }
 
@@ -446,7 +446,7 @@
             const bool answered =
                 result.outcome == http::CallOutcome::response && result.response.status == 200;
             const bool refused = result.outcome == http::CallOutcome::not_connected &&
-                                 result.close_reason == io::CloseReason::refused;
+                                 result.close_status == io::CloseStatus::refused;
             const auto requested = std::move(current.releasing);
             current.releasing.clear();
             if (answered || refused) {
@@ -481,11 +481,11 @@
     }
     const ServerId server = setup.server;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(setup.request.cls)];
-    json body = {{"protocol", kProtocol},    {"director", director_},
-                 {"session", setup.session}, {"attempt", setup.attempt},
-                 {"sid", setup.request.sid}, {"class", cls.name},
-                 {"rung", setup.rung},       {"title", setup.request.title_name},
-                 {"paid", setup.paid}};
+    json body = {{"protocol", kProtocol},       {"director", director_},
+                 {"session", setup.session},    {"attempt", setup.attempt},
+                 {"sid", setup.request.sid},    {"class", cls.name},
+                 {"rung", setup.rung},          {"title", setup.request.title_name},
+                 {"paid", setup.non_idempotent}};
     if (!settings_.tenants.empty())
         body["tenant"] = settings_.tenants[static_cast<std::size_t>(setup.request.tenant)].name;
     http::Request request;
@@ -496,8 +496,9 @@
     http::CallOptions options;
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;  // the engine cancels the set-up when it expires
-    // A pooled connection may be closed by the node at this moment, which would leave a paid set-up in doubt.
-    options.new_connection = setup.paid;
+    // A pooled connection may be closed by the node at this moment, which would leave a non-idempotent set-up
+    // in doubt.
+    options.new_connection = setup.non_idempotent;
     it->second->tracker.record_request(key);
     setup_calls_[key] = client_.send(
         it->second->address, std::move(request), std::move(options),
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -61,8 +61,10 @@
     bool is_idle() const { return pending_setups.empty() && !probing && !closing; }
     void on_open() override { owner.handle_connected(*this); }
     void on_data(std::string_view bytes) override { owner.handle_data(*this, bytes); }
-    void on_end() override { owner.handle_closed(*this, true, io::CloseReason::clean); }
-    void on_closed(io::CloseReason reason) override { owner.handle_closed(*this, connected, reason); }
+    void on_end() override { owner.handle_closed(*this, true, io::CloseStatus::clean); }
+    void on_closed(io::CloseStatus close_status) override {
+        owner.handle_closed(*this, connected, close_status);
+    }
 };
 
 struct RelayNodes::Node {
@@ -294,12 +296,12 @@
 }
 
 // Handles a dial that failed, or a connection that was closed or broke.
-void RelayNodes::handle_closed(Connection& connection, bool was_connected, io::CloseReason reason) {
+void RelayNodes::handle_closed(Connection& connection, bool was_connected, io::CloseStatus close_status) {
     if (connection.removed) return;
-    const bool refused = reason == io::CloseReason::refused,
-               no_descriptors = reason == io::CloseReason::no_resources;
+    const bool refused = close_status == io::CloseStatus::refused,
+               no_descriptors = close_status == io::CloseStatus::no_resources;
     Node& node = connection.node;
-    if (connection.closing && reason == io::CloseReason::clean)
+    if (connection.closing && close_status == io::CloseStatus::clean)
         return remove_connection(connection);  // the node has sent everything and closed it too
     lose_connection(connection);               // owned by removed_connections_ until this returns to the loop
     counts_.resets += was_connected;
@@ -590,7 +592,7 @@
             if (on_warning)
                 on_warning("node " + connection.node.info.uid +
                            " sent a malformed message: " + error->reason);
-            return handle_closed(connection, true, io::CloseReason::reset);
+            return handle_closed(connection, true, io::CloseStatus::reset);
         }
         handle_message(connection, std::get<NodeMessage>(*result));
     }
@@ -611,7 +613,7 @@
     const std::string* sdp = message.find(ParameterCode::sdp);
     if (!sdp || !relay::is_utf8(*sdp)) {
         counts_.malformed += 1;
-        handle_closed(connection, true, io::CloseReason::reset);
+        handle_closed(connection, true, io::CloseStatus::reset);
         return false;
     }
     Node& node = connection.node;
--- a/src/nodes/relay/nodes.hpp
+++ b/src/nodes/relay/nodes.hpp
@@ -92,7 +92,7 @@
     void handle_data(Connection& connection, std::string_view bytes);
     void handle_message(Connection& connection, const relay::NodeMessage& message);
     bool establish_session(Connection& connection, const relay::NodeMessage& message);
-    void handle_closed(Connection& connection, bool was_connected, io::CloseReason reason);
+    void handle_closed(Connection& connection, bool was_connected, io::CloseStatus close_status);
     void remove_connection(Connection& connection);
     void close_gracefully(Connection& connection);
     void lose_connection(Connection& connection);
