--- a/src/nodes/attempt_tracker.hpp
+++ b/src/nodes/attempt_tracker.hpp
@@ -4,10 +4,10 @@
 // (docs/design/nodes.md describes the states and their transitions).
 //
 // States of an attempt:
-//   pending   its set-up request has been sent and not been answered
-//   playing   the node has answered that it plays, in the incarnation named by the answer
-//   in doubt  over for its session, but not known to be over at the node: its place stays counted until a
-//             message of the node, or the end of the node's incarnation, proves that nothing of it is left
+//   pending     its set-up request has been sent and not been answered
+//   playing     the node has answered that it plays, in the incarnation named by the answer
+//   unreleased  over for its session, but not known to be over at the node: its place stays counted until a
+//               message of the node, or the end of the node's incarnation, proves that nothing of it is left
 //
 // An incarnation of a node is one run of its process, identified by `boot`. Within an incarnation the node
 // numbers the starts and ends of a director's sessions from 1 (`seq`). With these numbers a broken event
@@ -35,8 +35,8 @@
     enum class Kind {
         started,   // the attempt plays
         ended,     // the attempt is over, with this outcome, and nothing of it is left at the node
-        lost,      // the attempt is over for its session, but may still exist at the node: now in doubt
-        released,  // an attempt in doubt is proved to be over
+        lost,      // the attempt is over for its session, but may still exist at the node: now unreleased
+        released,  // an unreleased attempt is proved to be over
         cancel,    // the node must end it: no session uses it
         orphaned   // the node plays it, but this run of the director did not set it up
     };
@@ -56,11 +56,11 @@
     void record_request(AttemptKey key);
     // The set-up was answered: the attempt plays in incarnation `boot` and started as its event `start_seq`.
     Changes record_answer(AttemptKey key, const std::string& boot, std::uint64_t start_seq);
-    // The set-up ended without a usable answer. The attempt is in doubt afterwards, unless the outcome proves
-    // that it never ran or its end has already been reported.
+    // The set-up ended without a usable answer. The attempt is unreleased afterwards, unless the outcome
+    // proves that it never ran or its end has already been reported.
     Changes record_failure(AttemptKey key, Outcome outcome);
     // The session gives the attempt up, because its time is over or nobody waits for it. A pending attempt is
-    // in doubt afterwards; one that plays keeps playing until the node reports its end.
+    // unreleased afterwards; one that plays keeps playing until the node reports its end.
     Changes cancel(AttemptKey key);
     // The node has answered a release that was sent after the attempt was cancelled: it plays nothing of it,
     // and will not set it up if the request arrives later.
@@ -73,7 +73,7 @@
     // since resume_from().
     Changes begin_sync(const std::string& boot, bool full);
     Changes add_listed(AttemptKey key);  // one attempt of the snapshot
-    // What becomes of an orphaned attempt: it plays if the session was reclaimed; otherwise it is in doubt
+    // What becomes of an orphaned attempt: it plays if the session was reclaimed; otherwise it is unreleased
     // until it is released. Throws std::logic_error if the attempt is tracked already.
     void resolve_orphan(AttemptKey key, std::uint64_t start_seq, bool reclaimed);
     // The snapshot or the missed ends are complete: all events of the node up to `seq` are known.
@@ -108,7 +108,7 @@
     enum class State { pending, playing, unreleased };
     struct Entry {
         State state = State::pending;
-        std::string boot;               // playing, or in doubt after playing: the incarnation it played in
+        std::string boot;               // playing, or unreleased after playing: the incarnation it played in
         std::uint64_t start_seq = 0;    // the node's event number of its start
         std::uint64_t answered_at = 0;  // local_order_ at the answer
         // Pending: messages that overtook the answer. Either its end was reported first, or a snapshot taken
@@ -118,7 +118,7 @@
         std::string unlisted_boot;
         std::uint64_t unlisted_seq = 0;
     };
-    // Removes the entry and appends its end, or its release if it was in doubt.
+    // Removes the entry and appends its end, or its release if it was unreleased.
     void remove_ended(std::map<AttemptKey, Entry>::iterator it, Outcome outcome, Changes& out);
     void mark_unreleased(std::map<AttemptKey, Entry>::iterator it);
 
--- a/src/nodes/client.cpp
+++ b/src/nodes/client.cpp
@@ -290,7 +290,7 @@
         counts_.presumed_ended += changes.size();
         if (on_warning && !changes.empty())
             on_warning("node " + current.address.text() + " is no longer listed and silent: " +
-                       std::to_string(changes.size()) + " attempts in doubt are presumed ended");
+                       std::to_string(changes.size()) + " unreleased attempts are presumed ended");
         apply_changes(id, changes);
     });
 }
@@ -496,8 +496,8 @@
     http::CallOptions options;
     options.connect_timeout = limits_.connect_timeout;
     options.timeout = 0;  // the engine cancels the set-up when it expires
-    // A pooled connection may be closed by the node at this moment, which would leave a non-idempotent set-up
-    // in doubt.
+    // A pooled connection may be closed by the node at this moment; it would then be unknown whether a
+    // non-idempotent set-up has run.
     options.new_connection = setup.non_idempotent;
     it->second->tracker.record_request(key);
     setup_calls_[key] = client_.send(
--- a/src/nodes/relay/nodes.cpp
+++ b/src/nodes/relay/nodes.cpp
@@ -53,8 +53,8 @@
     io::Timer probe_timer;
     // Ends sent on it a moment ago, with their times: they may have crossed its close.
     std::deque<std::pair<io::Time, NodeMessage>> recent_ends;
-    bool is_presence_check = false;   // dialled to check that the machine is present; not connected yet
-    bool was_presence_check = false;  // dialled for that purpose and connected
+    bool is_reachability_check = false;   // dialled to check the machine; not connected yet
+    bool was_reachability_check = false;  // dialled for that purpose and connected
 
     Connection(RelayNodes& o, Node& n) : owner(o), node(n) {}
     bool is_usable() const { return connected && !closing; }
@@ -81,7 +81,7 @@
     // The node has not answered the close of a connection: what it sends there once it runs again is lost.
     bool close_unacknowledged = false;
     io::Time connection_lost_at = 0, redial_delay = kMinRedialDelay;
-    io::Timer redial_timer, presence_timer;
+    io::Timer redial_timer, reachability_timer;
 };
 
 RelayNodes::RelayNodes(io::Loop& loop, const RelayLimits& limits) : loop_(loop), limits_(limits) {
@@ -146,7 +146,7 @@
 RelayNodes::Connection* RelayNodes::find_idle(Node& node, bool connected_only) {
     Connection* most_recent = nullptr;
     for (const auto& connection : node.connections) {
-        if (!connection->is_idle() || connection->is_presence_check ||
+        if (!connection->is_idle() || connection->is_reachability_check ||
             (connected_only && !connection->connected))
             continue;
         if (limits_.idle_timeout > 0 &&
@@ -243,14 +243,14 @@
 void RelayNodes::handle_connected(Connection& connection) {
     connection.connected = true;
     Node& node = connection.node;
-    if (std::exchange(connection.is_presence_check, false)) {
+    if (std::exchange(connection.is_reachability_check, false)) {
         // The connection is kept, because ends are also reported on the next connection. The one kept from an
         // earlier check is closed.
         Connection* previous = nullptr;
         for (const auto& candidate : node.connections)
-            if (candidate->was_presence_check && candidate->is_idle()) previous = candidate.get();
+            if (candidate->was_reachability_check && candidate->is_idle()) previous = candidate.get();
         if (previous) close_gracefully(*previous);
-        connection.was_presence_check = true;
+        connection.was_reachability_check = true;
     }
     // A connection dialled at the moment of the loss does not count: it may be established before the node
     // knows that the lost one is gone.
@@ -329,12 +329,12 @@
     maintain_connection(node);
 }
 
-// Keeps a connection to a node with established sessions or unsent ends, and schedules checks that its
-// machine is present when it is silent.
+// Keeps a connection to a node with established sessions or unsent ends, and schedules checks whether its
+// machine can be reached when it is silent.
 void RelayNodes::maintain_connection(Node& node) {
     if ((node.established.empty() && node.unsent_ends.empty()) || !node.listed) {
         node.redial_timer.stop();
-        node.presence_timer.stop();
+        node.reachability_timer.stop();
         node.redial_pending = node.connection_lost = false;
         return;
     }
@@ -352,19 +352,19 @@
             if (current->connection_lost || !has_connection(*current)) open_connection(*current);
         });
     }
-    schedule_presence_check(node);
+    schedule_reachability_check(node);
 }
 // Dials the node when it has been silent for too long, unless a dial is already in progress.
-void RelayNodes::schedule_presence_check(Node& node) {
+void RelayNodes::schedule_reachability_check(Node& node) {
     const ServerId id = node.id;
-    node.presence_timer = loop_.at(node.failure_detector.next_check_at(loop_.now()), [this, id] {
+    node.reachability_timer = loop_.at(node.failure_detector.next_check_at(loop_.now()), [this, id] {
         Node* current = find(id);
         if (!current || current->established.empty() || !current->listed) return;
         const bool connecting = std::any_of(current->connections.begin(), current->connections.end(),
                                             [](const auto& connection) { return !connection->connected; });
         if (current->failure_detector.is_silent(loop_.now()) && !connecting)
-            open_connection(*current).is_presence_check = true;
-        schedule_presence_check(*current);
+            open_connection(*current).is_reachability_check = true;
+        schedule_reachability_check(*current);
     });
 }
 
--- a/src/nodes/relay/nodes.hpp
+++ b/src/nodes/relay/nodes.hpp
@@ -102,7 +102,7 @@
     void end_session(Node& node, SessionId session, Outcome outcome, const LoadReport& report);
     void end_all_sessions(Node& node, const char* reason);
     void maintain_connection(Node& node);
-    void schedule_presence_check(Node& node);
+    void schedule_reachability_check(Node& node);
     void send_setup(Connection& connection, SessionId session);
     LoadReport parse_load_report(const relay::NodeMessage& message) const;
     void close_idle_connections();
--- a/tests/nodes/attempt_tracker_test.cpp
+++ b/tests/nodes/attempt_tracker_test.cpp
@@ -103,7 +103,7 @@
               (ExpectedChanges{{Kind::started, 2}, {Kind::ended, 2}}));
     EXPECT_TRUE(tracker.empty());
 }
-TEST_F(AttemptTrackerTest, AFailureIsInDoubtUnlessItsOutcomeProvesThatItNeverRan) {
+TEST_F(AttemptTrackerTest, AFailedAttemptIsUnreleasedUnlessItsOutcomeProvesThatItNeverRan) {
     for (const Outcome outcome : {Outcome::full, Outcome::not_connected, Outcome::not_sent}) {
         tracker.record_request({1, 0});
         EXPECT_EQ(kinds_of(tracker.record_failure({1, 0}, outcome)), (ExpectedChanges{{Kind::ended, 1}}));
@@ -115,7 +115,7 @@
         EXPECT_EQ(kinds_of(tracker.confirm_release({2, 0})), (ExpectedChanges{{Kind::released, 2}}));
     }
 }
-TEST_F(AttemptTrackerTest, ACancelledAttemptStaysInDoubtThroughHelloAndSnapshotUntilTheReleaseIsAnswered) {
+TEST_F(AttemptTrackerTest, ACancelledAttemptStaysUnreleasedThroughHelloAndSnapshotUntilTheReleaseIsAnswered) {
     connect_stream("A");
     tracker.record_request({1, 0});
     EXPECT_TRUE(tracker.cancel({1, 0}).empty());
@@ -129,7 +129,7 @@
     tracker.finish_sync(1);
     EXPECT_EQ(kinds_of(tracker.confirm_release({1, 0})), (ExpectedChanges{{Kind::released, 1}}));
 }
-TEST_F(AttemptTrackerTest, AnUnreachableNodeLeavesDoubtAndARefusedDialEndsSessions) {
+TEST_F(AttemptTrackerTest, SessionsOfAnUnreachableNodeAreUnreleasedAndARefusedDialEndsThem) {
     connect_stream("A");
     start_playing(1, "A", 1);
     EXPECT_EQ(kinds_of(tracker.mark_unreachable()), (ExpectedChanges{{Kind::lost, 1}}));
@@ -153,7 +153,7 @@
     EXPECT_EQ(kinds_of(tracker.record_end({1, 0}, Outcome::ended, 2)),
               (ExpectedChanges{{Kind::released, 1}}));
 }
-TEST_F(AttemptTrackerTest, ASnapshotWithoutASessionInDoubtReleasesIt) {
+TEST_F(AttemptTrackerTest, ASnapshotWithoutAnUnreleasedSessionReleasesIt) {
     connect_stream("A");
     start_playing(1, "A", 1);
     tracker.mark_unreachable();
@@ -179,7 +179,7 @@
     tracker.begin_sync("B", true);
     EXPECT_FALSE(tracker.resume_from());
 }
-TEST_F(AttemptTrackerTest, PresumeEndedReleasesOnlyAttemptsInDoubt) {
+TEST_F(AttemptTrackerTest, PresumeEndedReleasesOnlyUnreleasedAttempts) {
     connect_stream("A");
     start_playing(1, "A", 1);
     tracker.record_request({2, 0});
--- a/tests/nodes/client_test.cpp
+++ b/tests/nodes/client_test.cpp
@@ -152,7 +152,7 @@
     EXPECT_EQ(client->counts().streams_lost, before.streams_lost);
     EXPECT_EQ(events.ended_count + events.lost_count, 0);
 }
-TEST_F(ManyNodes, SessionsOfASilentNodeAreInDoubtUntilItAnswers) {
+TEST_F(ManyNodes, SessionsOfASilentNodeAreUnreleasedUntilItAnswers) {
     nodes[0]->hang(true);
     run(60000);
     EXPECT_EQ(events.lost_count, kSessionsPerNode);
