--- a/src/cli/relay.cpp
+++ b/src/cli/relay.cpp
@@ -20,7 +20,7 @@
 constexpr io::Time kFullListInterval = 1000;
 // Invalid set-ups beyond this number are counted but not logged, so that a faulty client can't fill the log.
 constexpr int kMaxLoggedInvalidSetups = 20;
-constexpr std::size_t kRetainedNodeNames = 64;  // of nodes that left the list, for the log
+constexpr std::size_t kMaxRetainedNodeNames = 64;  // of nodes that left the list, for the log
 
 // Hashes a node's uid, so that every director uses the same id for it. The address is not part of it: a node
 // is identified by its uid alone.
@@ -50,7 +50,7 @@
               return limits;
           }(),
           engine_),
-      unix_to_loop_(loop.now() - loop.wall_ms()),
+      unix_to_loop_offset_(loop.now() - loop.wall_ms()),
       srv_poller_(
           loop, config.dns, kServiceName, config.known,
           {[this](const discovery::Members& members) { update_list(members); }, [this] { confirm_list(); }}),
@@ -64,8 +64,8 @@
     engine_.on_invariant_violation = [this](const std::string& history) {
         log_event(log::Level::error, "broken invariant", {{"history", history}});
     };
-    engine_.on_session_terminated = [this](SessionId id, bool owed, bool moved) {
-        front_.handle_session_end(id, owed, moved);
+    engine_.on_session_terminated = [this](SessionId id, bool notify_viewer, bool moved) {
+        front_.handle_session_end(id, notify_viewer, moved);
     };
     nodes_.on_warning = [this](const std::string& text) {
         log_event(log::Level::warning, "nodes", {{"text", text}});
@@ -135,7 +135,8 @@
     entry.weight = member.weight;
     // Converted with an offset that never changes: a start time that differed only slightly from the last
     // list would be taken for a restart of the node.
-    if (member.started_unix_ms > 0) entry.last_start = std::max(1.0, member.started_unix_ms + unix_to_loop_);
+    if (member.started_unix_ms > 0)
+        entry.last_start = std::max(1.0, member.started_unix_ms + unix_to_loop_offset_);
     entry.zone = find_index(config_.zones, member.zone);
     entry.kind = find_index(config_.kinds, member.kind);
     entry.state = member.state;
@@ -152,7 +153,7 @@
     }
     // Sessions of removed nodes end a little later, so some of their names are kept for the log; the number
     // is bounded, since names would otherwise pile up all day.
-    while (node_name_order_.size() > nodes.size() + kRetainedNodeNames) {
+    while (node_name_order_.size() > nodes.size() + kMaxRetainedNodeNames) {
         if (nodes.count(node_name_order_.front())) node_name_order_.push_back(node_name_order_.front());
         else node_names_.erase(node_name_order_.front());
         node_name_order_.pop_front();
--- a/src/cli/relay.hpp
+++ b/src/cli/relay.hpp
@@ -49,7 +49,7 @@
     nodes::RelayNodes nodes_;
     core::Engine engine_;
     fronts::RelayFront front_;
-    const io::Time unix_to_loop_;  // ms; Unix time + this = the loop's time
+    const io::Time unix_to_loop_offset_;  // ms; Unix time + this = the loop's time
     discovery::SrvPoller srv_poller_;
     discovery::Members members_;
     std::map<ServerId, std::string> node_names_;
--- a/src/fronts/relay/front.hpp
+++ b/src/fronts/relay/front.hpp
@@ -2,8 +2,7 @@
 // (relay/message.hpp) and passes set-ups to the engine. A connection carries many sessions; an established
 // session is not bound to any connection. Each set-up is answered once, on the connection that it came by. A
 // message that can't be parsed, or that names what the settings do not have, is answered with a release or by
-// closing its connection. Whether a set-up is placed, refused or held is decided by the decision module, not
-// here.
+// closing its connection. The decision module decides whether a set-up is placed, rejected or queued.
 #pragma once
 
 #include <array>
@@ -24,10 +23,14 @@
 // Limits of a RelayFront. Times in ms, sizes in bytes.
 struct RelayFrontLimits {
     decide::AdmissionLimits admission{256, 256};
-    std::size_t max_unsent_output = 256 * 1024;  // per connection; beyond it the connection is dropped
-    std::size_t max_pending_end_notices = 4096;  // beyond it the oldest is dropped
-    io::Time linger = 500;          // input is read so long after our end, so that our last message arrives
-    io::Time idle_timeout = 10000;  // connections without a session are closed after this
+    // Output kept for one connection; beyond it the connection is dropped.
+    std::size_t max_unsent_output = 256 * 1024;
+    // End notices that wait for a connection; beyond it the oldest is dropped.
+    std::size_t max_pending_end_notices = 4096;
+    // How long input is still read after our end, so that our last message arrives.
+    io::Time linger = 500;
+    // Connections without a session are closed after this time.
+    io::Time idle_timeout = 10000;
 };
 
 // Why a client connection was closed; the first reason found counts.
@@ -53,10 +56,14 @@
     std::uint64_t number = 0;  // in the order of acceptance, from 1
     CloseReason reason = CloseReason::client_end;
     std::size_t pending_setups = 0;             // set-ups not yet answered
-    std::optional<io::Time> since_last_answer;  // ms since the last answer was written; nothing: no answer
+    std::optional<io::Time> since_last_answer;  // ms; nothing if no answer was written
 };
 
-// Counters of a RelayFront since its start.
+// Counters of a RelayFront since its start. Connections: accepted (connections), evicted (shed), closed by
+// reason. Set-ups: received (setups), invalid (bad), with a session number in use (repeated), cancelled or
+// abandoned by their client (gave_up). Lines that can't be parsed (unreadable); pings; sessions taken over
+// (adopted) and ended by their viewer (hung_up); end notices sent (releases); releases of unknown sessions;
+// connections and set-ups turned away for lack of room or during a shutdown.
 struct RelayFrontCounts {
     std::array<std::uint64_t, kCloseReasons> closed{};  // connections by CloseReason
     std::uint64_t connections = 0, setups = 0, unreadable = 0, bad = 0, repeated = 0, gave_up = 0, pings = 0,
@@ -93,7 +100,7 @@
     // An established session has ended or is moved. With `notify_viewer` its viewer is sent a release or
     // move, on any suitable connection.
     void handle_session_end(SessionId id, bool notify_viewer, bool moved);
-    // Starts a graceful shutdown: set-ups that come after shutdown.accept_deadline() are refused, and
+    // Starts a graceful shutdown: set-ups that come after shutdown.accept_deadline() are rejected, and
     // connections are ended as they drain. New connections are accepted until the end: closing the listener
     // would reset those that the system has accepted and nobody has read yet, and clients resend on a new
     // connection what crosses the end of an old one.
--- a/tests/discovery/srv_heap_test.cpp
+++ b/tests/discovery/srv_heap_test.cpp
@@ -8,21 +8,21 @@
 #include "tests/relay/rig.hpp"
 
 namespace {
-std::atomic<std::size_t> largest{0}, taken{0}, calls{0};
+std::atomic<std::size_t> largest_allocation{0}, allocated_bytes{0}, allocation_count{0};
 }
 
 // A sanitizer brings its own allocator, so allocations are counted only in the plain build.
 #if !defined(__SANITIZE_ADDRESS__) && defined(__GLIBC__)
 extern "C" void* __libc_malloc(std::size_t size);
 extern "C" void* malloc(std::size_t size) {
-    if (size > largest) largest = size;
-    taken += size;
-    calls += 1;
+    if (size > largest_allocation) largest_allocation = size;
+    allocated_bytes += size;
+    allocation_count += 1;
     return __libc_malloc(size);
 }
-constexpr bool kCounts = true;
+constexpr bool kCountsAllocations = true;
 #else
-constexpr bool kCounts = false;
+constexpr bool kCountsAllocations = false;
 #endif
 
 namespace ivyfield::relaytest {
@@ -37,14 +37,14 @@
     io::World world(3);
     discovery::SrvPoller list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
                               {[](const auto&) {}, [] {}});
-    largest = taken = 0;
+    largest_allocation = allocated_bytes = 0;
     const auto read = discovery::parse_srv_response(answer, "_api._tcp.svc.local", 7, fault);
     world.run_until(world.now() + 1000);
     ASSERT_TRUE(read) << fault;
     EXPECT_EQ(read->members.size(), 30u);
-    if (!kCounts) GTEST_SKIP() << "the allocator is the sanitizer's";
-    EXPECT_GT(taken, 0u) << "malloc is not counted";
-    EXPECT_LE(largest, 16u * 1024u);
+    if (!kCountsAllocations) GTEST_SKIP() << "the allocator is the sanitizer's";
+    EXPECT_GT(allocated_bytes, 0u) << "malloc is not counted";
+    EXPECT_LE(largest_allocation, 16u * 1024u);
 }
 
 // Answers to clients wait while a response is parsed, and responses come four times a second at each
@@ -63,19 +63,19 @@
             answers += 1;
             server->send(from, answer);
         });
-    std::size_t whole = 0;
+    std::size_t list_events = 0;
     discovery::SrvPoller list(world.start("director"), {"127.0.0.1", 5300}, "_api._tcp.svc.local", 3,
-                              {[&](const auto&) { whole += 1; }, [&] { whole += 1; }});
+                              {[&](const auto&) { list_events += 1; }, [&] { list_events += 1; }});
     world.run_until(world.now() + 400);
-    ASSERT_GE(whole, 1u);
-    const std::size_t before = answers;
-    calls = 0;
+    ASSERT_GE(list_events, 1u);
+    const std::size_t answers_before = answers;
+    allocation_count = 0;
     world.run_until(world.now() + 2500);
-    const std::size_t more = answers - before;
-    EXPECT_GE(more, 5u);
-    EXPECT_GE(whole, more) << "each response confirms the list";
-    if (!kCounts) GTEST_SKIP() << "the allocator is the sanitizer's";
-    EXPECT_LT(calls / more, nodes.size()) << "fewer than one allocation per node";
+    const std::size_t later_answers = answers - answers_before;
+    EXPECT_GE(later_answers, 5u);
+    EXPECT_GE(list_events, later_answers) << "each response confirms the list";
+    if (!kCountsAllocations) GTEST_SKIP() << "the allocator is the sanitizer's";
+    EXPECT_LT(allocation_count / later_answers, nodes.size()) << "fewer than one allocation per node";
 }
 
 }  // namespace
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -173,10 +173,10 @@
 }
 
 TEST(Relay, AMalformedAnswerFailsOnlyItsOwnSetUp) {
-    const std::vector<std::string> spoilt = {std::string("\xff\xff garbage", 10),
-                                             std::string("\0\x0d\x63\0\0\0\0\0\0\0\1=\0\1\1", 15),
-                                             std::string("\0\x0c\x09\0\0\0\0\0\0\0\1?\0\5", 14)};
-    for (const std::string& bytes : spoilt) {
+    const std::vector<std::string> malformed = {std::string("\xff\xff garbage", 10),
+                                                std::string("\0\x0d\x63\0\0\0\0\0\0\0\1=\0\1\1", 15),
+                                                std::string("\0\x0c\x09\0\0\0\0\0\0\0\1?\0\5", 14)};
+    for (const std::string& bytes : malformed) {
         Rig rig;
         std::vector<std::pair<Node::Link*, std::uint64_t>> waiting;
         rig.nodes[0]->on_message = [&](auto& link, const auto& m) {
@@ -285,13 +285,13 @@
 TEST(Relay, ATimedOutSetUpIsCancelledAtItsNodeBeforeTheNextAttempt) {
     Rig rig(2);
     int silent = 0;
-    const auto mute = [&silent](auto& link, const auto& m) {
+    const auto silent_once = [&silent](auto& link, const auto& m) {
         if (m.type == MessageType::ping) return link.send(MessageType::pong, m.session, 1);
         if (m.type != MessageType::setup) return;
         if (silent++ == 0) return;
         link.send(MessageType::answer, m.session, -1, {{63, "x"}});
     };
-    rig.nodes[0]->on_message = rig.nodes[1]->on_message = mute;
+    rig.nodes[0]->on_message = rig.nodes[1]->on_message = silent_once;
     Viewer& v = rig.connect_viewer();
     v.send_line(make_setup_line(1, "free one"));
     rig.run_for(1500);
@@ -691,13 +691,13 @@
 TEST(Relay, EachCloseOfAClientConnectionIsCountedOnceUnderItsReason) {
     Rig rig;
     rig.nodes[0]->on_message = [](auto&, const auto&) {};
-    Viewer& leaves = rig.connect_viewer();
-    Viewer& babbles = rig.connect_viewer();
+    Viewer& closes = rig.connect_viewer();
+    Viewer& sends_garbage = rig.connect_viewer();
     rig.connect_viewer();
-    leaves.send_line(make_setup_line(1, "paid", 2000));
+    closes.send_line(make_setup_line(1, "paid", 2000));
     rig.run_for(100);
-    leaves.stream->end();
-    babbles.send_line("no message");
+    closes.stream->end();
+    sends_garbage.send_line("no message");
     rig.run_for(100);
     bool done = false;
     rig.director->stop([&] { done = true; });
@@ -897,7 +897,7 @@
 }
 
 // Records what a RelayNodes reports, without engine and module.
-struct Told : core::NodeEvents {
+struct EventRecorder : core::NodeEvents {
     std::vector<std::pair<SessionId, Outcome>> ends;
     int starts = 0;
     void on_attempt_started(SessionId, int, const core::Media&) override { starts += 1; }
@@ -920,19 +920,19 @@
         auto& here = world.start("director");
         const io::Address at{"127.0.0.1", 9001};
         Node node(there, at);
-        Told told;
+        EventRecorder recorder;
         nodes::RelayNodes port(here, {});
-        port.attach(&told);
+        port.attach(&recorder);
         port.set_nodes({{1, {"s-0", at, true}}});
-        core::SetupRequest what;
-        what.session = 7, what.server = 1, what.expires = 1000;
-        port.set_up(what);
+        core::SetupRequest setup;
+        setup.session = 7, setup.server = 1, setup.expires = 1000;
+        port.set_up(setup);
         if (gone) port.set_nodes({});
         else port.set_nodes({{1, {"s-0", at, false}}});
         world.run_until(500);
         EXPECT_TRUE(node.received.empty());
-        ASSERT_EQ(told.ends.size(), 1u);
-        EXPECT_EQ(told.ends[0].second, Outcome::not_sent);
+        ASSERT_EQ(recorder.ends.size(), 1u);
+        EXPECT_EQ(recorder.ends[0].second, Outcome::not_sent);
     }
 }
 
@@ -1043,9 +1043,9 @@
                 for (auto& [id, one] : asked) one.left = one.left || one.viewer == &v;
                 break;
             case 1: {
-                Viewer& rude = rig.connect_viewer();
-                rude.send_line(noise());
-                rude.send_line(make_setup_line(1 + draw(static_cast<unsigned>(next)), "paid"));
+                Viewer& faulty = rig.connect_viewer();
+                faulty.send_line(noise());
+                faulty.send_line(make_setup_line(1 + draw(static_cast<unsigned>(next)), "paid"));
                 break;
             }
             case 2:
