--- a/src/nodes/client.cpp
+++ b/src/nodes/client.cpp
@@ -505,10 +505,10 @@
         [this, key, server](const http::CallResult& result) {
             const std::shared_ptr<http::Call> finished_call(std::move(setup_calls_[key]));
             setup_calls_.erase(key);
-            const auto state = nodes_.find(server);
-            if (state == nodes_.end())
+            const auto node_it = nodes_.find(server);
+            if (node_it == nodes_.end())
                 throw std::logic_error("a node was removed while one of its set-ups was pending");
-            AttemptTracker& tracker = state->second->tracker;
+            AttemptTracker& tracker = node_it->second->tracker;
             Outcome outcome = Outcome::error;
             if (result.outcome == http::CallOutcome::not_connected) outcome = Outcome::not_connected;
             else if (result.outcome == http::CallOutcome::connection_lost) outcome = Outcome::reset;
