--- a/src/cli/day_command.cpp
+++ b/src/cli/day_command.cpp
@@ -24,7 +24,7 @@
         children_.clear();
         io::remove_folder(temporary_folder_);
     }
-    io::Address reserve(int) override {
+    io::Address reserve_address(int) override {
         return loop_.listen({"127.0.0.1", 0}, [](auto) {})->address();
     }
     void start(int number, const std::string& config) override {
@@ -39,9 +39,9 @@
                                 : log_folder_ + "/" + name + ".out");
     }
     void kill(int number) override { children_.at(number)->kill(); }
-    void stall(int number, bool on) override { children_.at(number)->stall(on); }
-    bool running(int number) override { return children_.at(number)->running(); }
-    io::Time slack() const override { return 60; }
+    void set_stalled(int number, bool on) override { children_.at(number)->stall(on); }
+    bool is_running(int number) override { return children_.at(number)->running(); }
+    io::Time timing_tolerance() const override { return 60; }
 
   private:
     io::EvLoop& loop_;
@@ -56,7 +56,7 @@
     ~SimulatedHost() override {
         for (auto& [number, director] : directors_) stop(director);
     }
-    io::Address reserve(int number) override {
+    io::Address reserve_address(int number) override {
         return {"127.0.0.1", static_cast<std::uint16_t>(8001 + number)};
     }
     void start(int number, const std::string& config) override {
@@ -72,9 +72,9 @@
         stop(directors_.at(number));
         directors_.erase(number);
     }
-    void stall(int number, bool on) override { world_.stall(*directors_.at(number).loop, on); }
-    bool running(int number) override { return directors_.count(number) != 0; }
-    io::Time slack() const override { return 5; }
+    void set_stalled(int number, bool on) override { world_.stall(*directors_.at(number).loop, on); }
+    bool is_running(int number) override { return directors_.count(number) != 0; }
+    io::Time timing_tolerance() const override { return 5; }
 
   private:
     struct SimulatedDirector {
@@ -89,19 +89,19 @@
     std::map<int, SimulatedDirector> directors_;
 };
 
-void write_outputs(const day::Report& report, const std::vector<standins::Tap>& taps,
+void write_outputs(const day::Report& report, const std::vector<standins::SocketEvent>& taps,
                    const DayOptions& options) {
     if (!options.report_path.empty()) io::write_file(options.report_path, report.json().dump(2) + "\n");
     if (options.tap_path.empty()) return;
     std::string lines;
-    for (const standins::Tap& tap : taps)
-        lines += nlohmann::ordered_json{{"at", tap.at},           {"what", tap.what},
-                                        {"where", tap.where},     {"director", tap.director},
+    for (const standins::SocketEvent& tap : taps)
+        lines += nlohmann::ordered_json{{"at", tap.at},           {"what", tap.type},
+                                        {"where", tap.source},    {"director", tap.director},
                                         {"session", tap.session}, {"attempt", tap.attempt},
                                         {"sid", tap.sid},         {"class", tap.cls},
                                         {"title", tap.title},     {"rung", tap.rung},
-                                        {"status", tap.status},   {"answer", tap.answer},
-                                        {"text", tap.text}}
+                                        {"status", tap.status},   {"answer", tap.outcome},
+                                        {"text", tap.details}}
                      .dump() +
                  "\n";
     io::write_file(options.tap_path, lines);
@@ -109,12 +109,12 @@
 
 }  // namespace
 
-day::Report play_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options) {
+day::Report play_day(const day::Scenario& file, std::uint64_t seed, const DayOptions& options) {
     io::EvLoop loop(seed);
     ProcessHost host(loop, options.log_folder);
     day::Report result;
     bool finished = false;
-    day::Day day(loop, file, seed, host, 1500, [&](const day::Report& report) {
+    day::ScenarioRunner day(loop, file, seed, host, 1500, [&](const day::Report& report) {
         result = report;
         finished = true;
         loop.stop();
@@ -127,13 +127,13 @@
     return result;
 }
 
-day::Report play_virtual_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options) {
+day::Report play_virtual_day(const day::Scenario& file, std::uint64_t seed, const DayOptions& options) {
     io::World world(seed);
     io::VirtualLoop& day_loop = world.start("rig");
     SimulatedHost host(world);
     day::Report result;
     bool finished = false;
-    day::Day day(day_loop, file, seed, host, 1500, [&](const day::Report& report) {
+    day::ScenarioRunner day(day_loop, file, seed, host, 1500, [&](const day::Report& report) {
         result = report;
         finished = true;
     });
--- a/src/cli/day_command.hpp
+++ b/src/cli/day_command.hpp
@@ -17,9 +17,9 @@
 
 // Plays a day on real sockets and wall time. Throws std::runtime_error if it is interrupted by a signal or an
 // output can't be written.
-day::Report play_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options);
+day::Report play_day(const day::Scenario& file, std::uint64_t seed, const DayOptions& options);
 // Plays a day on simulated time, with all directors in this process. The same seed gives the same run. Throws
 // std::runtime_error if no event is left before the day's end or an output can't be written.
-day::Report play_virtual_day(const day::DayFile& file, std::uint64_t seed, const DayOptions& options);
+day::Report play_virtual_day(const day::Scenario& file, std::uint64_t seed, const DayOptions& options);
 
 }  // namespace ivyfield::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -97,7 +97,7 @@
 // Plays a day file and prints the report. Returns 1 if a rule was broken, 2 if the file has errors.
 int play_day_file(const std::string& path, std::optional<std::uint64_t> seed, bool simulated,
                   const cli::DayOptions& options) {
-    const day::LoadedDay loaded = day::load_day(config::read_file(path));
+    const day::LoadedScenario loaded = day::load_scenario(config::read_file(path));
     for (const config::ConfigError& error : loaded.faults)
         std::cerr << path << ": " << (error.path.empty() ? "/" : error.path) << ": " << error.message << "\n";
     if (!loaded.faults.empty()) return 2;
@@ -106,7 +106,7 @@
     const day::Report report = simulated ? cli::play_virtual_day(loaded.day, day_seed, options)
                                          : cli::play_day(loaded.day, day_seed, options);
     std::cout << report.table();
-    return report.good() ? 0 : 1;
+    return report.has_passed() ? 0 : 1;
 }
 
 // Runs a stand-in media node, alone on its rack, until SIGINT or SIGTERM.
@@ -115,18 +115,18 @@
     io::EvLoop loop(io::system_seed());
     fleet::FleetSpec spec;
     spec.rack_kb = {1e12};
-    spec.refuses_from = 1;
+    spec.full_utilization = 1;
     fleet::Fleet fleet(spec);
-    const int fleet_index = fleet.add({0, link_kb, streams});
-    standins::Node stand_in(loop, fleet, fleet_index, settings, [](const standins::Tap& tap) {
+    const int fleet_index = fleet.add_node({0, link_kb, streams});
+    standins::NodeEmulator stand_in(loop, fleet, fleet_index, settings, [](const standins::SocketEvent& tap) {
         std::cout << nlohmann::ordered_json{{"at", tap.at},
-                                            {"what", tap.what},
+                                            {"what", tap.type},
                                             {"director", tap.director},
                                             {"session", tap.session},
                                             {"attempt", tap.attempt},
                                             {"sid", tap.sid},
                                             {"status", tap.status},
-                                            {"answer", tap.answer}}
+                                            {"answer", tap.outcome}}
                          .dump()
                   << std::endl;
     });
@@ -142,18 +142,18 @@
 int run_list(const std::string& listen, const std::string& service, const std::vector<std::string>& nodes) {
     ::signal(SIGPIPE, SIG_IGN);
     io::EvLoop loop(io::system_seed());
-    standins::List server_list(loop, io::Address::parse(listen), service, {});
+    standins::ServerListEmulator server_list(loop, io::Address::parse(listen), service, {});
     int position = 0;
     for (const std::string& text : nodes) {
         const std::size_t equals_sign = text.find('='), at_sign = text.rfind('@');
         if (equals_sign == std::string::npos || at_sign == std::string::npos || at_sign < equals_sign)
             throw std::invalid_argument("\"" + text + "\": expected ID=ADDRESS:PORT@KIND");
-        standins::Listed entry;
+        standins::ListedServer entry;
         entry.id = text.substr(0, equals_sign);
         entry.address = io::Address::parse(text.substr(equals_sign + 1, at_sign - equals_sign - 1));
         entry.kind = text.substr(at_sign + 1);
         entry.position = position++;
-        server_list.set(entry);
+        server_list.set_server(entry);
     }
     std::cerr << "list at " << server_list.address().text() << "\n";
     for (const int signal : {SIGINT, SIGTERM}) loop.on_signal(signal, [&] { loop.stop(); });
@@ -162,19 +162,19 @@
 }
 
 // Plays one session as a viewer and prints each event. Returns 1 if it did not start to play.
-int play_session(const std::string& director, standins::ViewerSettings settings) {
+int play_session(const std::string& director, standins::PlayerSettings settings) {
     ::signal(SIGPIPE, SIG_IGN);
     io::EvLoop loop(io::system_seed());
     http::Client client(loop, {});
     const io::Address address = io::Address::parse(director);
     bool started = false;
-    standins::Viewer viewer(
+    standins::PlayerEmulator viewer(
         loop, client, settings, [&] { return std::make_pair(std::string("director"), address); },
-        [&](const standins::Tap& tap) {
-            std::cout << std::llround(loop.now()) << " " << tap.what << (tap.answer.empty() ? "" : " ")
-                      << tap.answer << std::endl;
+        [&](const standins::SocketEvent& tap) {
+            std::cout << std::llround(loop.now()) << " " << tap.type << (tap.outcome.empty() ? "" : " ")
+                      << tap.outcome << std::endl;
         },
-        [&](const standins::ViewerResult& result) {
+        [&](const standins::PlayerResult& result) {
             started = result.started;
             std::cout << (result.started ? "played" : "did not play") << " after " << result.tries
                       << " tries, worth " << result.earned << " of " << result.offered << std::endl;
@@ -279,7 +279,7 @@
     list_command->add_option("instances", instances, "ID=ADDRESS:PORT@KIND")->required();
     list_command->callback([&] { exit_code = run_list(listen, service, instances); });
     std::string director = "127.0.0.1:8080";
-    ivyfield::standins::ViewerSettings viewer;
+    ivyfield::standins::PlayerSettings viewer;
     viewer.rung_kb = node_settings.rung_kb;
     viewer.rung_worth = {0.16, 0.4, 0.61, 0.81, 1.0};
     viewer.top = 4;
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -10,12 +10,12 @@
 namespace ivyfield::day {
 
 using nlohmann::json;
-using standins::Tap;
+using standins::SocketEvent;
 
-const char* day_schema_text() { return kDaySchemaText; }
+const char* scenario_schema_text() { return kDaySchemaText; }
 
-LoadedDay load_day(const std::string& text) {
-    LoadedDay out;
+LoadedScenario load_scenario(const std::string& text) {
+    LoadedScenario out;
     json doc;
     try {
         doc = json::parse(text);
@@ -25,7 +25,7 @@
     }
     out.faults = config::check_schema(kDaySchemaText, doc);
     if (!out.faults.empty()) return out;
-    DayFile& d = out.day;
+    Scenario& d = out.day;
     const auto fault = [&](const std::string& path, const std::string& why) {
         out.faults.push_back({path, why});
     };
@@ -50,9 +50,9 @@
         least = of.at(key)[0], most = of.at(key)[1];
         if (least > most) fault(std::string("/") + key, "the first is greater than the second");
     };
-    range(doc, "setup_ms", d.setup_least, d.setup_most);
-    d.list_late = doc.value("list_late_ms", 0.0);
-    d.report_every = doc.value("report_every_ms", 500.0);
+    range(doc, "setup_ms", d.min_setup_time, d.max_setup_time);
+    d.list_delay = doc.value("list_late_ms", 0.0);
+    d.report_interval = doc.value("report_every_ms", 500.0);
     // The director's part is checked as the configuration that it becomes.
     json whole = d.director;
     whole["name"] = "d0", whole["listen"] = "127.0.0.1:1";
@@ -69,7 +69,7 @@
         Arrivals one;
         one.cls = a.at("class"), one.tenant = a.at("tenant"), one.per_s = a.at("per_s");
         one.titles = a.value("titles", 20);
-        range(a, "length_ms", one.length_least, one.length_most);
+        range(a, "length_ms", one.min_duration, one.max_duration);
         const std::string path = "/arrivals/" + std::to_string(d.arrivals.size());
         const auto named = [](const auto& all, const std::string& name) {
             return std::any_of(all.begin(), all.end(), [&](const auto& c) { return c.name == name; });
@@ -81,7 +81,7 @@
     if (doc.contains("players")) {
         const json& p = doc.at("players");
         d.come_again = p.value("come_again", d.come_again);
-        range(p, "again_ms", d.again_least, d.again_most);
+        range(p, "again_ms", d.min_return_delay, d.max_return_delay);
         d.ask_twice = p.value("ask_twice", 0.0);
         d.leave_early = p.value("leave_early", 0.0);
         if (p.contains("hints")) d.hints = p.at("hints").get<std::map<std::string, double>>();
@@ -116,8 +116,8 @@
     return out;
 }
 
-Day::Day(io::Loop& loop, DayFile file, std::uint64_t seed, DirectorHost& host, io::Time ready_after,
-         std::function<void(const Report&)> done)
+ScenarioRunner::ScenarioRunner(io::Loop& loop, Scenario file, std::uint64_t seed, DirectorHost& host,
+                               io::Time ready_after, std::function<void(const Report&)> done)
     : loop_(loop),
       file_(std::move(file)),
       seed_(seed),
@@ -131,20 +131,20 @@
       }()) {
     report_.name = file_.name;
     report_.seed = seed;
-    const auto tap = [this](const Tap& t) { taps_.push_back(t); };
-    list_ = std::make_unique<standins::List>(loop_, io::Address{}, "media", tap);
+    const auto tap = [this](const SocketEvent& t) { taps_.push_back(t); };
+    list_ = std::make_unique<standins::ServerListEmulator>(loop_, io::Address{}, "media", tap);
     const json fleet_part = file_.director.at("fleet");
     const json cold = file_.director.value("rules", json::object()).value("cold", json::object());
     fleet::FleetSpec spec;
     spec.rack_kb = file_.racks_kb;
-    spec.refuses_from = fleet_part.value("refuses_from", 0.0);
-    spec.join_part = fleet_part.value("join_part", 1.0);
-    spec.cold_time = cold.value("time_ms", 0.0);
-    spec.cold_from = cold.value("from", 1.0);
-    spec.fall_multiple = cold.value("fall_multiple", 0.0);
-    spec.fall_window = cold.value("fall_window_ms", 1000.0);
+    spec.full_utilization = fleet_part.value("refuses_from", 0.0);
+    spec.join_rate_factor = fleet_part.value("join_part", 1.0);
+    spec.warmup_time = cold.value("time_ms", 0.0);
+    spec.initial_warmth = cold.value("from", 1.0);
+    spec.overload_multiple = cold.value("fall_multiple", 0.0);
+    spec.overload_window = cold.value("fall_window_ms", 1000.0);
     fleet_ = std::make_unique<fleet::Fleet>(spec);
-    std::vector<standins::NodeClass> classes;
+    std::vector<standins::EmulatedClass> classes;
     for (const json& c : file_.director.at("classes"))
         classes.push_back({c.at("name"), c.value("rate_part", 1.0), c.value("live", false)});
     for (const NodeGroup& g : file_.nodes)
@@ -154,17 +154,17 @@
             node.link_kb = g.weight * fleet_part.at("link_kb").get<double>();
             for (const json& kind : fleet_part.at("kinds"))
                 if (kind.at("name") == g.kind)
-                    node.streams = static_cast<int>(kind.at("streams").get<double>());
-            const int number = fleet_->add(node);
+                    node.max_streams = static_cast<int>(kind.at("streams").get<double>());
+            const int number = fleet_->add_node(node);
             standins::NodeSettings s;
             s.name = "n" + std::to_string(number);
             s.rung_kb = fleet_part.at("rung_kb").get<std::vector<double>>();
             s.classes = classes;
-            s.setup_least = file_.setup_least, s.setup_most = file_.setup_most;
-            s.report_every = file_.report_every;
-            s.note_late = fleet_part.value("notes_late_ms", 680.0);
+            s.min_setup_time = file_.min_setup_time, s.max_setup_time = file_.max_setup_time;
+            s.report_interval = file_.report_interval;
+            s.note_delay = fleet_part.value("notes_late_ms", 680.0);
             Box box;
-            box.node = std::make_unique<standins::Node>(loop_, *fleet_, number, s, tap);
+            box.node = std::make_unique<standins::NodeEmulator>(loop_, *fleet_, number, s, tap);
             box.up = g.up;
             box.listed.id = s.name, box.listed.kind = g.kind, box.listed.weight = g.weight;
             // The rack is the position modulo the racks.
@@ -175,16 +175,16 @@
             b.node->start(!g.cold);
             b.listed.address = b.node->address();
             if (g.cold) b.listed.started_wall_ms = loop_.wall_ms();
-            list_->set(b.listed);
+            list_->set_server(b.listed);
         }
-    list_->late(file_.list_late);
-    for (int k = 0; k < file_.directors; ++k) director_at_.push_back(host_.reserve(k));
+    list_->set_update_delay(file_.list_delay);
+    for (int k = 0; k < file_.directors; ++k) director_at_.push_back(host_.reserve_address(k));
     for (int k = 0; k < file_.directors; ++k) start_director(k);
     after(ready_after, [this] { begin(); });
 }
-Day::~Day() = default;
+ScenarioRunner::~ScenarioRunner() = default;
 
-void Day::after(io::Time wait, std::function<void()> task) {
+void ScenarioRunner::after(io::Time wait, std::function<void()> task) {
     const std::uint64_t id = ++last_task_;
     tasks_[id] = loop_.after(wait, [this, id, task = std::move(task)] {
         const io::Timer self = std::move(tasks_[id]);
@@ -193,7 +193,7 @@
     });
 }
 
-std::string Day::config_of(int number) const {
+std::string ScenarioRunner::config_of(int number) const {
     json c = file_.director;
     c["name"] = director_name(number);
     c["listen"] = director_at_[static_cast<std::size_t>(number)].text();
@@ -204,7 +204,7 @@
     if (!c.contains("log")) c["log"] = {{"path", ""}};
     return c.dump(2);
 }
-void Day::start_director(int number) {
+void ScenarioRunner::start_director(int number) {
     host_.start(number, config_of(number));
     const auto it = down_since_.find(number);
     if (it == down_since_.end()) return;
@@ -212,14 +212,14 @@
     outages_[it->second].to = loop_.now() + 1000;
     down_since_.erase(it);
 }
-void Day::kill_director(int number) {
+void ScenarioRunner::kill_director(int number) {
     if (down_since_.count(number)) return;
     host_.kill(number);
     down_since_[number] = outages_.size();
     outages_.push_back({director_name(number), loop_.now(), 1e18});
 }
 
-void Day::begin() {
+void ScenarioRunner::begin() {
     began_ = loop_.now();
     arrivals_.resize(file_.arrivals.size());
     for (std::size_t k = 0; k < file_.arrivals.size(); ++k) next_arrival(k);
@@ -227,7 +227,7 @@
     look();
 }
 
-void Day::next_arrival(std::size_t of) {
+void ScenarioRunner::next_arrival(std::size_t of) {
     const Arrivals& a = file_.arrivals[of];
     double rate = a.per_s / 1000 * burst_;
     if (const auto it = tenant_burst_.find(a.tenant); it != tenant_burst_.end()) rate *= it->second;
@@ -241,7 +241,7 @@
     });
 }
 
-std::pair<std::string, io::Address> Day::pick_director() {
+std::pair<std::string, io::Address> ScenarioRunner::pick_director() {
     // Viewers go on coming to a director that is dead for a while; later the names lead elsewhere.
     std::vector<int> able;
     for (int k = 0; k < file_.directors; ++k) {
@@ -253,8 +253,8 @@
     return {director_name(k), director_at_[static_cast<std::size_t>(k)]};
 }
 
-void Day::arrive(const Arrivals& a) {
-    standins::ViewerSettings v;
+void ScenarioRunner::arrive(const Arrivals& a) {
+    standins::PlayerSettings v;
     const std::uint64_t id = ++last_viewer_;
     v.name = "viewer-" + std::to_string(id);
     v.sid = "sid-" + std::to_string(seed_) + "-" + std::to_string(id);
@@ -274,9 +274,10 @@
     }
     const auto chance = [this](double p) { return std::bernoulli_distribution(p)(random_); };
     if (v.top > 1 && chance(0.25)) v.top -= 1;
-    v.length = std::uniform_real_distribution<double>(a.length_least, a.length_most)(random_);
-    v.comes_again = file_.come_again, v.again_least = file_.again_least, v.again_most = file_.again_most;
-    v.short_points = f.value("short_points", 6.0);
+    v.length = std::uniform_real_distribution<double>(a.min_duration, a.max_duration)(random_);
+    v.return_probability = file_.come_again, v.min_return_delay = file_.min_return_delay,
+    v.max_return_delay = file_.max_return_delay;
+    v.shortfall_penalty = f.value("short_points", 6.0);
     v.hints = chance(0.5) ? standins::HintStyle::query : standins::HintStyle::headers;
     static const std::pair<const char*, standins::HintStyle> styles[] = {
         {"missing", standins::HintStyle::missing},
@@ -290,18 +291,20 @@
         if (u2 >= 0 && u2 < p) v.hints = style;
         u2 -= p;
     }
-    v.asks_twice = chance(file_.ask_twice);
-    if (chance(file_.leave_early)) v.leaves_after = std::uniform_real_distribution<double>(0, 300)(random_);
-    viewers_[id] = std::make_unique<standins::Viewer>(
-        loop_, client_, v, [this] { return pick_director(); }, [this](const Tap& t) { taps_.push_back(t); },
-        [this, id](const standins::ViewerResult& r) {
-            for (Row* row : {&report_.all, &report_.by_class[r.cls], &report_.by_tenant[r.tenant]}) {
+    v.sends_duplicate = chance(file_.ask_twice);
+    if (chance(file_.leave_early)) v.leave_after = std::uniform_real_distribution<double>(0, 300)(random_);
+    viewers_[id] = std::make_unique<standins::PlayerEmulator>(
+        loop_, client_, v, [this] { return pick_director(); },
+        [this](const SocketEvent& t) { taps_.push_back(t); },
+        [this, id](const standins::PlayerResult& r) {
+            for (SessionTotals* row :
+                 {&report_.all, &report_.by_class[r.cls], &report_.by_tenant[r.tenant]}) {
                 row->viewers += 1, row->started += r.started, row->in_time += r.in_time;
                 row->refused += r.refused, row->failed += r.failed, row->broke += r.broke;
                 row->abandoned += r.abandoned, row->tries += r.tries;
                 row->offered += r.offered, row->earned += r.earned;
             }
-            const std::shared_ptr<standins::Viewer> keep(std::move(viewers_.at(id)));
+            const std::shared_ptr<standins::PlayerEmulator> keep(std::move(viewers_.at(id)));
             viewers_.erase(id);
             loop_.post([keep] {});
         });
@@ -309,20 +312,22 @@
 
 // ---- Faults ----
 
-void Day::fault(const FaultSpec& f) {
-    report_.faults[f.kind] += 1;
+void ScenarioRunner::fault(const FaultSpec& f) {
+    report_.fault_counts[f.kind] += 1;
     const auto each = [&](auto&& begin, auto&& end) {
         for (const int n : f.nodes) {
             begin(n);
             after(f.length, [n, end] { end(n); });
         }
     };
-    const auto node = [this](int n) -> standins::Node& { return *boxes_[static_cast<std::size_t>(n)].node; };
+    const auto node = [this](int n) -> standins::NodeEmulator& {
+        return *boxes_[static_cast<std::size_t>(n)].node;
+    };
     const auto relist = [this](int n, const char* state) {
         Box& b = boxes_[static_cast<std::size_t>(n)];
         b.listed.state = state;
         b.listed.address = b.node->address();
-        list_->set(b.listed);
+        list_->set_server(b.listed);
     };
     const auto start = [this, relist](int n) {
         Box& b = boxes_[static_cast<std::size_t>(n)];
@@ -338,30 +343,34 @@
         b.node->crash();
     };
     if (f.kind == "hang") {
-        each([&](int n) { node(n).hang(true); }, [node](int n) { node(n).hang(false); });
+        each([&](int n) { node(n).set_hung(true); }, [node](int n) { node(n).set_hung(false); });
     } else if (f.kind == "freeze_after_paid") {
-        each([&](int n) { node(n).freeze_after_paid(true); },
-             [node](int n) { node(n).freeze_after_paid(false), node(n).hang(false); });
+        each([&](int n) { node(n).set_hang_after_paid_setup(true); },
+             [node](int n) { node(n).set_hang_after_paid_setup(false), node(n).set_hung(false); });
     } else if (f.kind == "answers_lost") {
-        each([&](int n) { node(n).lose_answers(f.value); }, [node](int n) { node(n).lose_answers(0); });
+        each([&](int n) { node(n).set_answer_loss_probability(f.value); },
+             [node](int n) { node(n).set_answer_loss_probability(0); });
     } else if (f.kind == "errors") {
-        each([&](int n) { node(n).fail_fast(f.value); }, [node](int n) { node(n).fail_fast(0); });
+        each([&](int n) { node(n).set_error_probability(f.value); },
+             [node](int n) { node(n).set_error_probability(0); });
     } else if (f.kind == "slow_link") {
-        each([&](int n) { fleet_->link_part(n, 1 / f.value); }, [this](int n) { fleet_->link_part(n, 1); });
+        each([&](int n) { fleet_->set_link_factor(n, 1 / f.value); },
+             [this](int n) { fleet_->set_link_factor(n, 1); });
     } else if (f.kind == "neighbour") {
-        each([&](int n) { fleet_->link_neighbour(n, f.value); },
-             [this](int n) { fleet_->link_neighbour(n, 0); });
+        each([&](int n) { fleet_->set_link_background(n, f.value); },
+             [this](int n) { fleet_->set_link_background(n, 0); });
     } else if (f.kind == "uplink_neighbour") {
-        fleet_->uplink_neighbour(f.rack, f.value);
-        after(f.length, [this, f] { fleet_->uplink_neighbour(f.rack, 0); });
+        fleet_->set_uplink_background(f.rack, f.value);
+        after(f.length, [this, f] { fleet_->set_uplink_background(f.rack, 0); });
     } else if (f.kind == "late_reports") {
-        each([&](int n) { node(n).reports_late(f.value); }, [node](int n) { node(n).reports_late(0); });
+        each([&](int n) { node(n).set_report_delay(f.value); },
+             [node](int n) { node(n).set_report_delay(0); });
     } else if (f.kind == "stale_list") {
-        list_->stale(true);
-        after(f.length, [this] { list_->stale(false); });
+        list_->set_stale(true);
+        after(f.length, [this] { list_->set_stale(false); });
     } else if (f.kind == "silent_list") {
-        list_->hang(true);
-        after(f.length, [this] { list_->hang(false); });
+        list_->set_hung(true);
+        after(f.length, [this] { list_->set_hung(false); });
     } else if (f.kind == "crash") {  // silent, and back cold
         each([&](int n) { crash(n); }, [start](int n) { start(n); });
     } else if (f.kind == "start") {
@@ -386,9 +395,9 @@
         }
     } else if (f.kind == "director_stall") {
         for (const int d : f.directors) {
-            host_.stall(d, true);
+            host_.set_stalled(d, true);
             outages_.push_back({director_name(d), loop_.now(), loop_.now() + f.length + 200, false});
-            after(f.length, [this, d] { host_.stall(d, false); });
+            after(f.length, [this, d] { host_.set_stalled(d, false); });
         }
     } else if (f.kind == "burst") {
         burst_ = f.value;
@@ -401,10 +410,10 @@
 
 // ---- The end ----
 
-void Day::look() {
+void ScenarioRunner::look() {
     for (int k = 0; k < file_.directors; ++k)
-        if (!down_since_.count(k) && !host_.running(k)) {
-            report_.died.push_back(director_name(k));
+        if (!down_since_.count(k) && !host_.is_running(k)) {
+            report_.exited_directors.push_back(director_name(k));
             down_since_[k] = outages_.size();
             outages_.push_back({director_name(k), loop_.now(), 1e18});
         }
@@ -413,30 +422,30 @@
     if (all_came && (viewers_.empty() || passed > file_.length + 120000)) return finish();
     look_ = loop_.after(100, [this] { look(); });
 }
-void Day::finish() {
+void ScenarioRunner::finish() {
     if (over_) return;
     over_ = true;
-    audit::Terms terms;
+    audit::RuleLimits terms;
     const json& c = file_.director;
     for (const json& one : c.at("classes"))
         terms.classes[one.at("name")] = {one.at("repeat") == "paid", one.value("floor", 0),
                                          one.value("seats", 0), one.at("patience_ms")};
     const json rules = c.value("rules", json::object());
-    terms.network_slack = host_.slack();
-    terms.answer_slack = rules.value("answer_slack_ms", 40.0);
-    terms.stop_within = rules.value("stop_within_ms", 500.0);
+    terms.network_tolerance = host_.timing_tolerance();
+    terms.answer_tolerance = rules.value("answer_slack_ms", 40.0);
+    terms.drain_stop_within = rules.value("stop_within_ms", 500.0);
     if (rules.contains("budget")) {
-        terms.budget = true;
-        terms.budget_free = rules["budget"].at("free");
-        terms.budget_per_request = rules["budget"].at("per_request");
-        terms.budget_window = rules["budget"].at("window_ms");
+        terms.has_retry_budget = true;
+        terms.free_retries = rules["budget"].at("free");
+        terms.retries_per_request = rules["budget"].at("per_request");
+        terms.retry_window = rules["budget"].at("window_ms");
     }
-    report_.verdict = audit::judge(taps_, terms, outages_);
-    for (const Tap& t : taps_) {
-        report_.set_ups += t.what == "setup";
-        report_.further += t.what == "setup" && t.attempt > 0;
-        report_.ran += t.what == "ran";
-        report_.duplicates_asked += t.what == "ask_again";
+    report_.verdict = audit::check_rules(taps_, terms, outages_);
+    for (const SocketEvent& t : taps_) {
+        report_.setups += t.type == "setup";
+        report_.further_attempts += t.type == "setup" && t.attempt > 0;
+        report_.completed_setups += t.type == "ran";
+        report_.duplicate_requests += t.type == "ask_again";
     }
     done_(report_);
 }
@@ -447,7 +456,7 @@
     std::snprintf(line, sizeof line, "%-22s %8s %8s %8s %8s %8s %8s %8s %8s\n", "", "viewers", "played",
                   "in time", "refused", "failed", "left", "broke", "worth");
     out += line;
-    const auto row = [&](const std::string& label, const Row& r) {
+    const auto row = [&](const std::string& label, const SessionTotals& r) {
         std::snprintf(line, sizeof line, "%-22s %8d %8d %8d %8d %8d %8d %8d %7.1f%%\n", label.c_str(),
                       r.viewers, r.started, r.in_time, r.refused, r.failed, r.abandoned, r.broke,
                       r.offered > 0 ? 100 * r.earned / r.offered : 0);
@@ -456,49 +465,56 @@
     for (const auto& [label, r] : by_class) row(label, r);
     for (const auto& [label, r] : by_tenant) row("tenant " + label, r);
     row("all", all);
-    out += "\nset-ups " + std::to_string(set_ups) + ", further attempts " + std::to_string(further) +
-           ", ran " + std::to_string(ran) + ", asked twice " + std::to_string(duplicates_asked) + "; faults:";
-    for (const auto& [kind, n] : faults) out += " " + kind + (n > 1 ? " x" + std::to_string(n) : "");
+    out += "\nset-ups " + std::to_string(setups) + ", further attempts " + std::to_string(further_attempts) +
+           ", ran " + std::to_string(completed_setups) + ", asked twice " +
+           std::to_string(duplicate_requests) + "; faults:";
+    for (const auto& [kind, n] : fault_counts) out += " " + kind + (n > 1 ? " x" + std::to_string(n) : "");
     out += "\n\n";
     for (int rule = 1; rule <= 6; ++rule) {
-        const auto it = verdict.checked.find(rule);
+        const auto it = verdict.check_counts.find(rule);
         std::snprintf(line, sizeof line, "rule %d  %-26s %-8s (put to the test %d times)\n", rule,
-                      audit::rule_name(rule), verdict.kept(rule) ? "kept" : "BROKEN",
-                      it == verdict.checked.end() ? 0 : it->second);
+                      audit::rule_name(rule), verdict.is_kept(rule) ? "kept" : "BROKEN",
+                      it == verdict.check_counts.end() ? 0 : it->second);
         out += line;
     }
     std::size_t shown = 0;
-    for (const audit::Breach& b : verdict.breaches) {
+    for (const audit::Violation& b : verdict.violations) {
         if (++shown > 10) break;
         out += "  rule " + std::to_string(b.rule) + " at " + std::to_string(std::llround(b.at)) +
-               " ms: " + b.what + "\n";
+               " ms: " + b.description + "\n";
     }
-    if (verdict.breaches.size() > 10)
-        out += "  and " + std::to_string(verdict.breaches.size() - 10) + " more\n";
-    for (const std::string& d : died) out += "director " + d + " ended by itself\n";
+    if (verdict.violations.size() > 10)
+        out += "  and " + std::to_string(verdict.violations.size() - 10) + " more\n";
+    for (const std::string& d : exited_directors) out += "director " + d + " ended by itself\n";
     return out;
 }
 nlohmann::json Report::json() const {
-    const auto row = [](const Row& r) {
+    const auto row = [](const SessionTotals& r) {
         return nlohmann::json{{"viewers", r.viewers}, {"played", r.started}, {"in_time", r.in_time},
                               {"refused", r.refused}, {"failed", r.failed},  {"abandoned", r.abandoned},
                               {"broke", r.broke},     {"tries", r.tries},    {"offered", r.offered},
                               {"earned", r.earned}};
     };
-    nlohmann::json out = {{"name", name},    {"seed", seed},       {"good", good()},
-                          {"all", row(all)}, {"set_ups", set_ups}, {"further_attempts", further},
-                          {"ran", ran},      {"faults", faults},   {"directors_died", died}};
+    nlohmann::json out = {{"name", name},
+                          {"seed", seed},
+                          {"good", has_passed()},
+                          {"all", row(all)},
+                          {"set_ups", setups},
+                          {"further_attempts", further_attempts},
+                          {"ran", completed_setups},
+                          {"faults", fault_counts},
+                          {"directors_died", exited_directors}};
     for (const auto& [label, r] : by_class) out["classes"][label] = row(r);
     for (const auto& [label, r] : by_tenant) out["tenants"][label] = row(r);
     for (int rule = 1; rule <= 6; ++rule) {
-        const auto it = verdict.checked.find(rule);
+        const auto it = verdict.check_counts.find(rule);
         out["rules"][std::to_string(rule)] = {{"name", audit::rule_name(rule)},
-                                              {"kept", verdict.kept(rule)},
-                                              {"checked", it == verdict.checked.end() ? 0 : it->second}};
+                                              {"kept", verdict.is_kept(rule)},
+                                              {"checked", it == verdict.check_counts.end() ? 0 : it->second}};
     }
     out["breaches"] = nlohmann::json::array();
-    for (const audit::Breach& b : verdict.breaches)
-        out["breaches"].push_back({{"rule", b.rule}, {"at_ms", b.at}, {"what", b.what}});
+    for (const audit::Violation& b : verdict.violations)
+        out["breaches"].push_back({{"rule", b.rule}, {"at_ms", b.at}, {"what", b.description}});
     return out;
 }
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -7,103 +7,107 @@
 
 namespace ivyfield::fleet {
 
-int Fleet::add(const NodeSpec& spec) {
-    if (spec.rack < 0 || spec.rack >= racks())
+int Fleet::add_node(const NodeSpec& spec) {
+    if (spec.rack < 0 || spec.rack >= rack_count())
         throw std::invalid_argument("a node in a rack that is not there");
     nodes_.push_back({});
     nodes_.back().spec = spec;
     return static_cast<int>(nodes_.size()) - 1;
 }
 
-void Fleet::start(int n, Time now, bool warm) {
-    Node& v = at(n);
-    const NodeSpec spec = v.spec;
-    v = {};
-    v.spec = spec;
-    v.up = true;
-    v.started = warm ? now - spec_.cold_time - 1 : now;
+void Fleet::start_node(int n, Time now, bool warm) {
+    NodeState& node = node_state(n);
+    const NodeSpec spec = node.spec;
+    node = {};
+    node.spec = spec;
+    node.up = true;
+    node.started = warm ? now - spec_.warmup_time - 1 : now;
 }
-void Fleet::stop(int n) {
-    Node& v = at(n);
-    v.up = false;
-    v.streams.clear();
-    v.setting_up = 0;
+void Fleet::stop_node(int n) {
+    NodeState& node = node_state(n);
+    node.up = false;
+    node.streams.clear();
+    node.pending_setups = 0;
 }
 
 double Fleet::warmth(int n, Time now) const {
-    if (spec_.cold_time <= 0) return 1;
-    const double age = std::clamp((now - at(n).started) / spec_.cold_time, 0.0, 1.0);
-    return spec_.cold_from + (1 - spec_.cold_from) * age;
+    if (spec_.warmup_time <= 0) return 1;
+    const double warmup_progress = std::clamp((now - node_state(n).started) / spec_.warmup_time, 0.0, 1.0);
+    return spec_.initial_warmth + (1 - spec_.initial_warmth) * warmup_progress;
 }
 
-SetUpVerdict Fleet::set_up(int n, Time now) {
-    Node& v = at(n);
-    if (spec_.fall_multiple > 0 && now < v.started + spec_.cold_time) {
-        while (!v.recent.empty() && v.recent.front() <= now - spec_.fall_window) v.recent.pop_front();
-        v.recent.push_back(now);
-        const double pace = v.spec.streams / spec_.cold_time * warmth(n, now);
+SetupResult Fleet::begin_setup(int n, Time now) {
+    NodeState& node = node_state(n);
+    if (spec_.overload_multiple > 0 && now < node.started + spec_.warmup_time) {
+        while (!node.recent_setups.empty() && node.recent_setups.front() <= now - spec_.overload_window)
+            node.recent_setups.pop_front();
+        node.recent_setups.push_back(now);
+        const double sustainable_rate = node.spec.max_streams / spec_.warmup_time * warmth(n, now);
         // Two more than the budget: one set-up is never too many, nor are two that meet by chance.
-        if (static_cast<double>(v.recent.size()) > spec_.fall_multiple * pace * spec_.fall_window + 2) {
-            stop(n);
-            v.fallen = true;
-            return SetUpVerdict::fell;
+        if (static_cast<double>(node.recent_setups.size()) >
+            spec_.overload_multiple * sustainable_rate * spec_.overload_window + 2) {
+            stop_node(n);
+            node.overloaded = true;
+            return SetupResult::overloaded;
         }
     }
-    if (streams(n) + v.setting_up >= v.spec.streams) return SetUpVerdict::full;
-    if (spec_.refuses_from > 0 && link_use(n, now) >= spec_.refuses_from) return SetUpVerdict::full;
-    v.setting_up += 1;
-    return SetUpVerdict::taken;
+    if (stream_count(n) + node.pending_setups >= node.spec.max_streams) return SetupResult::full;
+    if (spec_.full_utilization > 0 && link_utilization(n, now) >= spec_.full_utilization)
+        return SetupResult::full;
+    node.pending_setups += 1;
+    return SetupResult::accepted;
 }
-void Fleet::drop(int n) {
-    Node& v = at(n);
-    if (v.setting_up > 0) v.setting_up -= 1;
+void Fleet::cancel_setup(int n) {
+    NodeState& node = node_state(n);
+    if (node.pending_setups > 0) node.pending_setups -= 1;
 }
-std::uint64_t Fleet::begin(int n, const StreamSpec& stream) {
-    drop(n);
-    at(n).streams.emplace(++last_, stream);
-    return last_;
+std::uint64_t Fleet::start_stream(int n, const StreamSpec& stream) {
+    cancel_setup(n);
+    node_state(n).streams.emplace(++last_stream_id_, stream);
+    return last_stream_id_;
 }
 void Fleet::set_rung(int n, std::uint64_t stream, int rung, double kb) {
-    const auto it = at(n).streams.find(stream);
-    if (it != at(n).streams.end()) it->second.rung = rung, it->second.kb = kb;
+    const auto it = node_state(n).streams.find(stream);
+    if (it != node_state(n).streams.end()) it->second.rung = rung, it->second.rate_kb = kb;
 }
-void Fleet::end(int n, std::uint64_t stream) { at(n).streams.erase(stream); }
+void Fleet::end_stream(int n, std::uint64_t stream) { node_state(n).streams.erase(stream); }
 
-double Fleet::link(int n) const { return at(n).spec.link_kb * at(n).part; }
+double Fleet::link_capacity(int n) const { return node_state(n).spec.link_kb * node_state(n).link_factor; }
 
-double Fleet::asked(int n) const {
+double Fleet::requested_kb(int n) const {
     std::set<std::tuple<std::string, int>> shared;
-    double kb = at(n).neighbour;
-    for (const auto& [id, s] : at(n).streams) {
-        const bool further = !s.share.empty() && !shared.insert({s.share, s.rung}).second;
-        kb += s.kb * (further ? spec_.join_part : 1);
+    double kb = node_state(n).background_kb;
+    for (const auto& [id, s] : node_state(n).streams) {
+        const bool joins = !s.sharing_key.empty() && !shared.insert({s.sharing_key, s.rung}).second;
+        kb += s.rate_kb * (joins ? spec_.join_rate_factor : 1);
     }
     return kb;
 }
-int Fleet::streams(int n) const {
+int Fleet::stream_count(int n) const {
     std::set<std::tuple<std::string, int>> shared;
     int count = 0;
-    for (const auto& [id, s] : at(n).streams)
-        count += s.share.empty() || shared.insert({s.share, s.rung}).second;
+    for (const auto& [id, s] : node_state(n).streams)
+        count += s.sharing_key.empty() || shared.insert({s.sharing_key, s.rung}).second;
     return count;
 }
-double Fleet::link_use(int n, Time now) const {
-    const double gives = link(n) * warmth(n, now);
-    return gives > 0 ? asked(n) / gives : 0;
+double Fleet::link_utilization(int n, Time now) const {
+    const double capacity = link_capacity(n) * warmth(n, now);
+    return capacity > 0 ? requested_kb(n) / capacity : 0;
 }
 // An uplink is asked for what the rack's links let through.
-double Fleet::uplink_use(int rack, Time now) const {
-    const double gives = spec_.rack_kb.at(static_cast<std::size_t>(rack));
-    if (gives <= 0) return 0;
-    const auto neighbour = rack_neighbour_.find(rack);
-    double kb = neighbour == rack_neighbour_.end() ? 0 : neighbour->second;
+double Fleet::uplink_utilization(int rack, Time now) const {
+    const double capacity = spec_.rack_kb.at(static_cast<std::size_t>(rack));
+    if (capacity <= 0) return 0;
+    const auto background = uplink_background_.find(rack);
+    double kb = background == uplink_background_.end() ? 0 : background->second;
     for (int n = 0; n < static_cast<int>(nodes_.size()); ++n)
-        if (at(n).up && at(n).spec.rack == rack) kb += std::min(asked(n), link(n) * warmth(n, now));
-    return kb / gives;
+        if (node_state(n).up && node_state(n).spec.rack == rack)
+            kb += std::min(requested_kb(n), link_capacity(n) * warmth(n, now));
+    return kb / capacity;
 }
-double Fleet::delivered(int n, Time now) const {
-    const double of_link = 1 / std::max(1.0, link_use(n, now));
-    return of_link / std::max(1.0, uplink_use(at(n).spec.rack, now));
+double Fleet::delivered_share(int n, Time now) const {
+    const double link_share = 1 / std::max(1.0, link_utilization(n, now));
+    return link_share / std::max(1.0, uplink_utilization(node_state(n).spec.rack, now));
 }
 
 }  // namespace ivyfield::fleet
--- a/src/measure/main.cpp
+++ b/src/measure/main.cpp
@@ -178,18 +178,19 @@
     io::EvLoop loop{1};
     std::string folder = io::create_temporary_folder();
     std::vector<std::unique_ptr<FastNode>> nodes;
-    std::unique_ptr<standins::List> list;
+    std::unique_ptr<standins::ServerListEmulator> list;
     std::unique_ptr<io::Child> director;
     io::Address address;
 
     DirectorRig(const std::string& program, int count, io::Time play_time) {
-        list = std::make_unique<standins::List>(loop, io::Address{}, "media", standins::TapSink{});
+        list = std::make_unique<standins::ServerListEmulator>(loop, io::Address{}, "media",
+                                                              standins::EventSink{});
         for (int k = 0; k < count; ++k) {
             nodes.push_back(std::make_unique<FastNode>(loop, play_time));
-            standins::Listed one;
+            standins::ListedServer one;
             one.id = "f" + std::to_string(k), one.kind = "k", one.position = k;
             one.address = nodes.back()->address();
-            list->set(one);
+            list->set_server(one);
         }
         address = loop.listen({"127.0.0.1", 0}, [](auto) {})->address();
         // Enough capacity for all sessions, so that no request is rejected: rejections are not to be
--- a/src/standins/list.cpp
+++ b/src/standins/list.cpp
@@ -7,13 +7,14 @@
 
 using nlohmann::json;
 
-List::List(io::Loop& loop, const io::Address& listen, std::string service, TapSink tap)
+ServerListEmulator::ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service,
+                                       EventSink tap)
     : loop_(loop),
       service_(std::move(service)),
       tap_(std::move(tap)),
       server_(loop, listen, {}, [this](const http::ExchangePtr& e) { serve(e); }) {}
 
-void List::later(std::function<void()> change) {
+void ServerListEmulator::later(std::function<void()> change) {
     if (late_ <= 0) return change();
     const std::uint64_t id = ++next_;
     changes_[id] = loop_.after(late_, [this, id, change] {
@@ -22,24 +23,24 @@
         change();
     });
 }
-void List::set(const Listed& one) {
+void ServerListEmulator::set_server(const ListedServer& one) {
     later([this, one] {
         all_[one.id] = one;
         changed();
     });
 }
-void List::remove(const std::string& id) {
+void ServerListEmulator::remove_server(const std::string& id) {
     later([this, id] {
         all_.erase(id);
         changed();
     });
 }
-void List::stale(bool on) {
+void ServerListEmulator::set_stale(bool on) {
     if (on && !stale_) stale_copy_ = all_;
     stale_ = on;
     if (!on) changed();
 }
-void List::changed() {
+void ServerListEmulator::changed() {
     index_ += 1;
     if (stale_) return;
     auto waiting = std::move(waiting_);
@@ -47,7 +48,7 @@
     for (auto& [id, one] : waiting) answer(one.exchange);
 }
 
-void List::serve(const http::ExchangePtr& e) {
+void ServerListEmulator::serve(const http::ExchangePtr& e) {
     const http::Request& request = e->request();
     if (request.path() != "/v1/health/service/" + service_)
         return e->respond(http::text_response(404, "no such service"));
@@ -68,14 +69,14 @@
     e->on_disconnect([this, id] { loop_.post([this, id] { waiting_.erase(id); }); });
 }
 
-void List::answer(const http::ExchangePtr& e) {
+void ServerListEmulator::answer(const http::ExchangePtr& e) {
     if (e->is_disconnected()) return;
     e->on_disconnect(nullptr);
     json body = json::array();
-    Tap t;
-    t.what = "list_sent";
+    SocketEvent t;
+    t.type = "list_sent";
     t.at = loop_.now();
-    t.where = "list";
+    t.source = "list";
     t.director = std::string(e->request().headers.get("User-Agent").value_or(""));
     if (const std::size_t slash = t.director.find('/'); slash != std::string::npos)
         t.director.erase(0, slash + 1);
@@ -96,7 +97,7 @@
                           {"Weights", {{"Passing", 1}, {"Warning", 1}}},
                           {"Meta", meta}}},
                         {"Checks", json::array({{{"CheckID", "service:" + id}, {"Status", check}}})}});
-        t.text += (t.text.empty() ? "" : " ") + id + "=" + one.state;
+        t.details += (t.details.empty() ? "" : " ") + id + "=" + one.state;
     }
     http::Response r;
     r.headers.add("Content-Type", "application/json");
--- a/src/standins/list.hpp
+++ b/src/standins/list.hpp
@@ -11,24 +11,24 @@
 
 namespace ivyfield::standins {
 
-struct Listed {
+struct ListedServer {
     std::string id, kind, state = "ready";  // "ready", "draining", "gone" (its check is critical)
     io::Address address;
     int position = 0, zone = 0;
     double weight = 1, started_wall_ms = 0;  // 0: long ago
 };
 
-class List {
+class ServerListEmulator {
   public:
-    List(io::Loop& loop, const io::Address& listen, std::string service, TapSink tap);
+    ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service, EventSink tap);
     io::Address address() const { return server_.address(); }
     // Takes effect for askers `late` from now.
-    void set(const Listed& one);
-    void remove(const std::string& id);
-    void late(io::Time by) { late_ = by; }
-    void hang(bool on) { on ? server_.pause() : server_.resume(); }
+    void set_server(const ListedServer& one);
+    void remove_server(const std::string& id);
+    void set_update_delay(io::Time by) { late_ = by; }
+    void set_hung(bool on) { on ? server_.pause() : server_.resume(); }
     // Answers go on with what was known when this began, as an agent cut off from its servers gives them.
-    void stale(bool on);
+    void set_stale(bool on);
 
   private:
     struct Waiting {
@@ -42,8 +42,8 @@
 
     io::Loop& loop_;
     std::string service_;
-    TapSink tap_;
-    std::map<std::string, Listed> all_, stale_copy_;
+    EventSink tap_;
+    std::map<std::string, ListedServer> all_, stale_copy_;
     std::uint64_t index_ = 1, next_ = 0;
     io::Time late_ = 0;
     bool stale_ = false;
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -58,7 +58,8 @@
 
 }  // namespace
 
-Node::Node(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings, TapSink tap)
+NodeEmulator::NodeEmulator(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings,
+                           EventSink tap)
     : loop_(loop),
       fleet_(fleet),
       number_(number),
@@ -68,9 +69,9 @@
     if (!settings_.media.empty()) read_folder();
 }
 // Connections first, while all that hears of their end is still here.
-Node::~Node() { server_.reset(); }
+NodeEmulator::~NodeEmulator() { server_.reset(); }
 
-void Node::read_folder() {
+void NodeEmulator::read_folder() {
     const auto read = [](const std::string& path, auto&& parse) {
         const auto text = file_text(path);
         if (!text) throw std::runtime_error(path + ": can't be read");
@@ -94,25 +95,25 @@
         for (std::size_t rung = 0; rung < renditions_.size(); ++rung)
             if (v.uri == std::to_string(rung) + "/index.m3u8") renditions_[rung] = v;
 }
-json Node::renditions() const {
+json NodeEmulator::renditions() const {
     json out = json::array();
     for (const hls::Variant& r : renditions_)
         out.push_back({{"codecs", r.codecs}, {"resolution", r.resolution}});
     return out;
 }
-bool Node::live(const std::string& cls) const {
+bool NodeEmulator::live(const std::string& cls) const {
     return std::any_of(settings_.classes.begin(), settings_.classes.end(),
-                       [&](const NodeClass& c) { return c.name == cls && c.live; });
+                       [&](const EmulatedClass& c) { return c.name == cls && c.live; });
 }
 
-void Node::tap(Tap t) {
+void NodeEmulator::tap(SocketEvent t) {
     t.at = loop_.now();
-    t.where = settings_.name;
+    t.source = settings_.name;
     if (tap_) tap_(t);
 }
 
-void Node::start(bool warm) {
-    fleet_.start(number_, loop_.now(), warm);
+void NodeEmulator::start(bool warm) {
+    fleet_.start_node(number_, loop_.now(), warm);
     boot_ = hex(loop_.random()());
     http::ServerLimits limits;
     limits.write_timeout = 5000;
@@ -123,20 +124,20 @@
     reports_.clear();
     refresh();
     tick();
-    Tap t;
-    t.what = "node_start";
-    t.answer = warm ? "warm" : "cold";
+    SocketEvent t;
+    t.type = "node_start";
+    t.outcome = warm ? "warm" : "cold";
     tap(t);
 }
-void Node::crash() {
+void NodeEmulator::crash() {
     if (hung_) {
-        Tap t;
-        t.what = "thaw";
+        SocketEvent t;
+        t.type = "thaw";
         tap(t);
     }
     hung_ = false;
-    Tap down;
-    down.what = "node_down";
+    SocketEvent down;
+    down.type = "node_down";
     tap(down);
     server_.reset();  // first: what is dropped unanswered behind it has no connection to be answered on
     setting_.clear();
@@ -149,13 +150,13 @@
     stopped_.clear();
     moved_.clear();
     tick_.stop(), refresh_.stop();
-    if (fleet_.up(number_)) fleet_.stop(number_);
+    if (fleet_.is_up(number_)) fleet_.stop_node(number_);
 }
-void Node::hang(bool on) {
+void NodeEmulator::set_hung(bool on) {
     if (on == hung_ || !server_) return;
     hung_ = on;
-    Tap t;
-    t.what = on ? "hang" : "thaw";
+    SocketEvent t;
+    t.type = on ? "hang" : "thaw";
     tap(t);
     if (on) return server_->pause();
     server_->resume();
@@ -164,13 +165,13 @@
     for (const auto& one : work) one();
 }
 
-double Node::kb(const std::string& cls, int rung) const {
-    for (const NodeClass& c : settings_.classes)
+double NodeEmulator::kb(const std::string& cls, int rung) const {
+    for (const EmulatedClass& c : settings_.classes)
         if (c.name == cls) return settings_.rung_kb.at(static_cast<std::size_t>(rung)) * c.rate_part;
     return settings_.rung_kb.at(static_cast<std::size_t>(rung));
 }
 
-void Node::serve(const http::ExchangePtr& e) {
+void NodeEmulator::serve(const http::ExchangePtr& e) {
     const auto parts = parts_of(e->request().path());
     const std::string& method = e->request().method;
     if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "sessions" && method == "POST") return set_up(e);
@@ -195,7 +196,7 @@
     e->respond(http::text_response(404, "nothing here"));
 }
 
-void Node::after(io::Time wait, std::function<void()> task) {
+void NodeEmulator::after(io::Time wait, std::function<void()> task) {
     const std::uint64_t id = ++last_later_;
     later_[id] = loop_.after(wait, [this, id, task = std::move(task)] {
         const io::Timer self = std::move(later_.at(id));
@@ -203,16 +204,16 @@
         task();
     });
 }
-std::string Node::media_url(const std::string& token) const {
+std::string NodeEmulator::media_url(const std::string& token) const {
     return "http://" + address_.text() + "/media/" + token + "/";
 }
 
 // ---- Set-ups ----
 
-void Node::set_up(const http::ExchangePtr& e) {
+void NodeEmulator::set_up(const http::ExchangePtr& e) {
     const json body = json::parse(e->request().body, nullptr, false);
-    Tap t;
-    t.what = "setup";
+    SocketEvent t;
+    t.type = "setup";
     try {
         if (body.at("protocol").get<int>() != 2)
             throw std::invalid_argument("this node speaks protocol 2 (docs/node-protocol.md)");
@@ -233,10 +234,10 @@
     const Key key{t.director, t.session, t.attempt};
     tap(t);
     const auto over = [this, t](int status, const char* how) {
-        Tap o = t;
-        o.what = "setup_over";
+        SocketEvent o = t;
+        o.type = "setup_over";
         o.status = status;
-        o.answer = how;
+        o.outcome = how;
         tap(o);
     };
     // Called off before it came: nobody waits for it.
@@ -251,22 +252,22 @@
         over(500, "error");
         return e->respond(http::text_response(500, "this node is broken"));
     }
-    switch (fleet_.set_up(number_, loop_.now())) {
-        case fleet::SetUpVerdict::fell: {
-            Tap fell = t;
-            fell.what = "node_fell";
+    switch (fleet_.begin_setup(number_, loop_.now())) {
+        case fleet::SetupResult::overloaded: {
+            SocketEvent fell = t;
+            fell.type = "node_fell";
             tap(fell);
             over(0, "broke");
             loop_.post([this] { crash(); });
             return e->abort_connection();
         }
-        case fleet::SetUpVerdict::full: {
+        case fleet::SetupResult::full: {
             http::Response r = json_response(503, {{"why", "full"}});
             r.headers.add("X-Ivyfield-Unseen", "1");
             over(503, "full");
             return e->respond(r);
         }
-        case fleet::SetUpVerdict::taken:
+        case fleet::SetupResult::accepted:
             break;
     }
     auto setting = std::make_unique<Setting>();
@@ -279,19 +280,19 @@
         it->second->exchange.reset();
         if (hung_) return;
         setting_.erase(it);
-        fleet_.drop(number_);
+        fleet_.cancel_setup(number_);
     });
-    const double work =
-        std::uniform_real_distribution<double>(settings_.setup_least, settings_.setup_most)(loop_.random());
+    const double work = std::uniform_real_distribution<double>(settings_.min_setup_time,
+                                                               settings_.max_setup_time)(loop_.random());
     setting->timer = loop_.after(work, [this, key, t] { set_up_done(key, t, t.rung); });
     setting_.emplace(key, std::move(setting));
     if (t.paid && freeze_paid_) {
         freeze_paid_ = false;
-        loop_.post([this] { hang(true); });
+        loop_.post([this] { set_hung(true); });
     }
 }
 
-void Node::set_up_done(const Key& key, const Tap& from, int rung) {
+void NodeEmulator::set_up_done(const Key& key, const SocketEvent& from, int rung) {
     if (hung_) {
         stopped_.push_back([this, key, from, rung] { set_up_done(key, from, rung); });
         return;
@@ -300,8 +301,8 @@
     if (it == setting_.end()) return;
     const std::unique_ptr<Setting> setting = std::move(it->second);
     setting_.erase(it);
-    Tap ran = from;
-    ran.what = "ran";
+    SocketEvent ran = from;
+    ran.type = "ran";
     tap(ran);
     auto session = std::make_unique<Session>();
     session->token = hex(loop_.random()());
@@ -312,10 +313,10 @@
     const std::uint64_t begun = session->begun = ++teller.seq;
     if (!teller.stream) stream_gone(from.director);
     fleet::StreamSpec stream;
-    stream.kb = kb(from.cls, rung);
+    stream.rate_kb = kb(from.cls, rung);
     stream.rung = rung;
-    if (live(from.cls)) stream.share = from.cls + "/" + from.title;
-    session->stream = fleet_.begin(number_, stream);
+    if (live(from.cls)) stream.sharing_key = from.cls + "/" + from.title;
+    session->stream = fleet_.start_stream(number_, stream);
     session->idle = loop_.after(settings_.idle, [this, key] { end(key, "ended"); });
     tokens_[session->token] = key;
     const std::string token = session->token;
@@ -323,11 +324,11 @@
     const http::ExchangePtr e = setting->exchange;
     if (!e || e->is_disconnected()) return;
     e->on_disconnect(nullptr);
-    Tap over = from;
-    over.what = "setup_over";
+    SocketEvent over = from;
+    over.type = "setup_over";
     if (lose_ > 0 && std::bernoulli_distribution(lose_)(loop_.random())) {
         // Held open unanswered: the director's own time must end it.
-        over.answer = "lost";
+        over.outcome = "lost";
         auto held = std::make_shared<http::ExchangePtr>(e);
         e->on_disconnect([this, over, held] {
             tap(over);
@@ -336,7 +337,7 @@
         return;
     }
     over.status = 200;
-    over.answer = "started";
+    over.outcome = "started";
     tap(over);
     json answer = {{"media", media_url(token)}, {"boot", boot_}, {"seq", begun}};
     if (!renditions_.empty()) answer["renditions"] = renditions();
@@ -345,13 +346,13 @@
 
 // ---- Commands to playing sessions ----
 
-void Node::command(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
+void NodeEmulator::command(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
     const auto session = number_of(parts[3]), attempt = number_of(parts[4]);
     if (!session || !attempt) return e->respond(http::text_response(400, "not a session and attempt"));
     const Key key{parts[2], *session, static_cast<int>(*attempt)};
     const std::string& method = e->request().method;
     const auto it = sessions_.find(key);
-    Tap t;
+    SocketEvent t;
     t.director = parts[2], t.session = *session, t.attempt = static_cast<int>(*attempt);
     if (method == "DELETE" && parts.size() == 5) {
         let_go(key);
@@ -368,7 +369,7 @@
             return e->respond(http::text_response(400, "rung is not on the ladder"));
         s.rung = rung;
         fleet_.set_rung(number_, s.stream, rung, kb(s.cls, rung));
-        t.what = "rung", t.rung = rung, t.cls = s.cls, t.sid = s.sid;
+        t.type = "rung", t.rung = rung, t.cls = s.cls, t.sid = s.sid;
         tap(t);
         return e->respond({204, {}, ""});
     }
@@ -380,7 +381,7 @@
     e->respond(http::text_response(405, "not this"));
 }
 
-void Node::release(const http::ExchangePtr& e, const std::string& director) {
+void NodeEmulator::release(const http::ExchangePtr& e, const std::string& director) {
     const json body = json::parse(e->request().body, nullptr, false);
     std::vector<Key> keys;
     try {
@@ -393,9 +394,9 @@
     e->respond(json_response(200, json::object()));
 }
 // Nothing of the attempt is left here, and nothing will be: a set-up that comes after this is turned away.
-void Node::let_go(const Key& key) {
-    Tap t;
-    t.what = "cancel";
+void NodeEmulator::let_go(const Key& key) {
+    SocketEvent t;
+    t.type = "cancel";
     t.director = std::get<0>(key), t.session = std::get<1>(key), t.attempt = std::get<2>(key);
     tap(t);
     const io::Time now = loop_.now();
@@ -406,12 +407,12 @@
     if (let_go_.insert(key).second) let_go_order_.emplace_back(now + settings_.remember, key);
     if (const auto s = setting_.find(key); s != setting_.end()) {
         setting_.erase(s);
-        fleet_.drop(number_);
+        fleet_.cancel_setup(number_);
     }
     end(key, "cancelled");
 }
 
-void Node::end(const Key& key, const char* how) {
+void NodeEmulator::end(const Key& key, const char* how) {
     if (hung_) {
         stopped_.push_back([this, key, how] { end(key, how); });
         return;
@@ -421,11 +422,11 @@
     const std::unique_ptr<Session> s = std::move(it->second);
     sessions_.erase(it);
     tokens_.erase(s->token);
-    fleet_.end(number_, s->stream);
+    fleet_.end_stream(number_, s->stream);
     const auto& [director, session, attempt] = key;
-    Tap t;
-    t.what = "end", t.director = director, t.session = session, t.attempt = attempt;
-    t.sid = s->sid, t.cls = s->cls, t.title = s->title, t.answer = how;
+    SocketEvent t;
+    t.type = "end", t.director = director, t.session = session, t.attempt = attempt;
+    t.sid = s->sid, t.cls = s->cls, t.title = s->title, t.outcome = how;
     tap(t);
     Teller& teller = tellers_[director];
     const std::string line = json{{"event", "end"},     {"boot", boot_},      {"seq", ++teller.seq},
@@ -441,7 +442,7 @@
 
 // ---- Events ----
 
-void Node::events(const http::ExchangePtr& e) {
+void NodeEmulator::events(const http::ExchangePtr& e) {
     const std::string_view query = e->request().query();
     const auto director = http::query_argument(query, "director");
     if (!director || director->empty()) return e->respond(http::text_response(400, "no director"));
@@ -456,11 +457,11 @@
     http::Headers headers;
     headers.add("Content-Type", "application/x-ndjson");
     e->start(200, headers);
-    std::string out =
-        json{{"event", "hello"}, {"node", settings_.name}, {"boot", boot_},
-             {"protocol", 2},    {"whole", !resumes},      {"age_ms", loop_.now() - fleet_.started(number_)}}
-            .dump() +
-        "\n";
+    std::string out = json{{"event", "hello"},  {"node", settings_.name},
+                           {"boot", boot_},     {"protocol", 2},
+                           {"whole", !resumes}, {"age_ms", loop_.now() - fleet_.started_at(number_)}}
+                          .dump() +
+                      "\n";
     if (resumes) {
         for (const auto& [seq, line] : teller.ends)
             if (seq > *since) out += line + "\n";
@@ -497,7 +498,7 @@
     });
 }
 // A director that does not come back in its time claims nothing any more.
-void Node::stream_gone(const std::string& director) {
+void NodeEmulator::stream_gone(const std::string& director) {
     tellers_[director].lease = loop_.after(settings_.lease, [this, director] {
         std::vector<Key> keys;
         for (auto it = sessions_.lower_bound({director, 0, 0});
@@ -506,15 +507,15 @@
         for (const Key& key : keys) end(key, "reset");
     });
 }
-void Node::tell(const std::string& director, const std::string& line) {
+void NodeEmulator::tell(const std::string& director, const std::string& line) {
     const auto it = tellers_.find(director);
     if (it != tellers_.end() && it->second.stream && !it->second.stream->is_disconnected())
         it->second.stream->write(line + "\n");
 }
-void Node::tick() {
-    tick_ = loop_.after(settings_.note_every, [this] { tick(); });
+void NodeEmulator::tick() {
+    tick_ = loop_.after(settings_.note_interval, [this] { tick(); });
     if (hung_) return;
-    const double share = fleet_.delivered(number_, loop_.now());
+    const double share = fleet_.delivered_share(number_, loop_.now());
     for (auto& [director, teller] : tellers_) {
         if (!teller.stream || teller.stream->is_disconnected()) continue;
         tell(director, "{\"event\":\"tick\"}");
@@ -530,22 +531,23 @@
             {"attempt", std::get<2>(first->first)},
             {"value", share}}.dump();
         // Late, as a smoothed measurement is.
-        after(settings_.note_late, [this, line, director = director] { tell(director, line); });
+        after(settings_.note_delay, [this, line, director = director] { tell(director, line); });
     }
 }
-void Node::refresh() {
-    refresh_ = loop_.after(settings_.report_every, [this] { refresh(); });
+void NodeEmulator::refresh() {
+    refresh_ = loop_.after(settings_.report_interval, [this] { refresh(); });
     const io::Time now = loop_.now();
-    reports_.emplace_back(now, json{{"streams", fleet_.streams(number_)},
-                                    {"link", fleet_.link_use(number_, now)},
-                                    {"uplink", fleet_.uplink_use(fleet_.node(number_).rack, now)}}
-                                   .dump());
+    reports_.emplace_back(now,
+                          json{{"streams", fleet_.stream_count(number_)},
+                               {"link", fleet_.link_utilization(number_, now)},
+                               {"uplink", fleet_.uplink_utilization(fleet_.node_spec(number_).rack, now)}}
+                              .dump());
     while (reports_.size() > 1 && reports_[1].first < now - 10000) reports_.erase(reports_.begin());
 }
 
 // ---- Media ----
 
-void Node::media(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
+void NodeEmulator::media(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
     const auto it = tokens_.find(parts[1]);
     if (it == tokens_.end()) {
         // Moved, or over: back to the director with the same sid.
@@ -561,7 +563,7 @@
     if (!rung || *rung >= settings_.rung_kb.size())
         return e->respond(http::text_response(404, "no such rung"));
     const io::Time now = loop_.now();
-    const double share = fleet_.delivered(number_, now);
+    const double share = fleet_.delivered_share(number_, now);
     hints::Keys keys;
     keys.values["mb"] = static_cast<std::int64_t>(std::llround(kb(s.cls, s.rung) * 8));
     keys.values["etp"] = static_cast<std::int64_t>(std::llround(kb(s.cls, s.rung) * 8 * share));
@@ -595,7 +597,7 @@
         const std::size_t dot = parts[3].find('.');
         if (!number_of(parts[3].substr(0, dot)) || parts[3].substr(std::min(dot, parts[3].size())) != ".ts")
             return e->respond(http::text_response(404, "no such segment"));
-        const double bytes = kb(s.cls, static_cast<int>(*rung)) * settings_.segment * settings_.byte_part;
+        const double bytes = kb(s.cls, static_cast<int>(*rung)) * settings_.segment * settings_.byte_fraction;
         r.body.assign(static_cast<std::size_t>(std::max(1.0, bytes)), 'x');
     } else {
         // Only what the playlist names is served: a path from outside opens nothing else.
--- a/src/standins/node.hpp
+++ b/src/standins/node.hpp
@@ -16,7 +16,7 @@
 
 namespace ivyfield::standins {
 
-struct NodeClass {
+struct EmulatedClass {
     std::string name;
     double rate_part = 1;
     bool live = false;
@@ -25,40 +25,42 @@
     std::string name = "node";
     io::Address listen;
     std::vector<double> rung_kb;
-    std::vector<NodeClass> classes;
-    io::Time setup_least = 30, setup_most = 120;  // the work of a set-up
-    io::Time segment = 1000;                      // length of a media segment
-    io::Time idle = 4000;                         // a session that fetches nothing for so long has ended
-    io::Time note_every = 1000, note_late = 680;  // delivered-share notes
-    io::Time report_every = 500;                  // load reports are refreshed so often
-    io::Time lease = 60000;     // sessions of a director without a stream for so long are ended
-    io::Time remember = 60000;  // attempts let go are turned away for so long, should they still come
-    std::size_t log = 1024;     // ends of each director's sessions kept, to take a stream up again
-    double byte_part = 0.01;    // made-up segments carry this part of their bytes
-    std::string media;          // a folder with RUNG/NUMBER.ts to serve instead
+    std::vector<EmulatedClass> classes;
+    io::Time min_setup_time = 30, max_setup_time = 120;  // the work of a set-up
+    io::Time segment = 1000;                             // length of a media segment
+    io::Time idle = 4000;                             // a session that fetches nothing for so long has ended
+    io::Time note_interval = 1000, note_delay = 680;  // delivered-share notes
+    io::Time report_interval = 500;                   // load reports are refreshed so often
+    io::Time lease = 60000;       // sessions of a director without a stream for so long are ended
+    io::Time remember = 60000;    // attempts let go are turned away for so long, should they still come
+    std::size_t log = 1024;       // ends of each director's sessions kept, to take a stream up again
+    double byte_fraction = 0.01;  // made-up segments carry this part of their bytes
+    std::string media;            // a folder with RUNG/NUMBER.ts to serve instead
 };
 
-class Node {
+class NodeEmulator {
   public:
     // Throws std::runtime_error that names the file, when the folder of media can't be used.
-    Node(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings, TapSink tap);
-    ~Node();
+    NodeEmulator(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings, EventSink tap);
+    ~NodeEmulator();
     const std::string& name() const { return settings_.name; }
     io::Address address() const { return address_; }
     int number() const { return number_; }
 
     // Faults.
-    void start(bool warm);  // a new life at the same address
-    void crash();           // connections break, all is lost
-    void hang(bool on);     // accepts, reads and answers nothing; work under way stops too
-    void lose_answers(double part) { lose_ = part; }  // the work is done, the answer never leaves
-    void fail_fast(double part) { fail_ = part; }     // an error at once, nothing is done
-    void freeze_after_paid(bool on) {
+    void start(bool warm);   // a new life at the same address
+    void crash();            // connections break, all is lost
+    void set_hung(bool on);  // accepts, reads and answers nothing; work under way stops too
+    void set_answer_loss_probability(double part) {
+        lose_ = part;
+    }                                                          // the work is done, the answer never leaves
+    void set_error_probability(double part) { fail_ = part; }  // an error at once, nothing is done
+    void set_hang_after_paid_setup(bool on) {
         freeze_paid_ = on;
     }  // hangs just after the next paid set-up is accepted
-    void reports_late(io::Time by) { late_ = by; }
+    void set_report_delay(io::Time by) { late_ = by; }
 
-    std::size_t sessions() const { return sessions_.size(); }
+    std::size_t session_count() const { return sessions_.size(); }
 
   private:
     using Key = std::tuple<std::string, std::uint64_t, int>;  // director, session, attempt
@@ -76,7 +78,7 @@
 
     void serve(const http::ExchangePtr& e);
     void set_up(const http::ExchangePtr& e);
-    void set_up_done(const Key& key, const Tap& from, int rung);
+    void set_up_done(const Key& key, const SocketEvent& from, int rung);
     // What this node knows of one director's sessions and tells it.
     struct Teller {
         http::ExchangePtr stream;
@@ -101,13 +103,13 @@
     void tick();
     void refresh();
     double kb(const std::string& cls, int rung) const;
-    void tap(Tap t);
+    void tap(SocketEvent t);
 
     io::Loop& loop_;
     fleet::Fleet& fleet_;
     int number_;
     NodeSettings settings_;
-    TapSink tap_;
+    EventSink tap_;
     std::vector<hls::MediaPlaylist> titles_;  // of the folder, by rung
     std::vector<hls::Variant> renditions_;
     io::Address address_;
--- a/src/standins/player.cpp
+++ b/src/standins/player.cpp
@@ -6,9 +6,9 @@
 
 namespace ivyfield::standins {
 
-Viewer::Viewer(io::Loop& loop, http::Client& client, ViewerSettings settings,
-               std::function<std::pair<std::string, io::Address>()> director, TapSink tap,
-               std::function<void(const ViewerResult&)> done)
+PlayerEmulator::PlayerEmulator(io::Loop& loop, http::Client& client, PlayerSettings settings,
+                               std::function<std::pair<std::string, io::Address>()> director, EventSink tap,
+                               std::function<void(const PlayerResult&)> done)
     : loop_(loop),
       client_(client),
       s_(std::move(settings)),
@@ -22,20 +22,20 @@
     result_.offered = s_.worth * s_.rung_worth.at(static_cast<std::size_t>(s_.top)) * s_.length / 1000;
     ask();
 }
-Viewer::~Viewer() = default;
+PlayerEmulator::~PlayerEmulator() = default;
 
-Tap Viewer::tap_of(const char* what) const {
-    Tap t;
-    t.what = what;
+SocketEvent PlayerEmulator::tap_of(const char* what) const {
+    SocketEvent t;
+    t.type = what;
     t.at = loop_.now();
-    t.where = s_.name;
+    t.source = s_.name;
     t.director = asked_director_;
     t.sid = s_.sid, t.cls = s_.cls, t.title = s_.title, t.tenant = s_.tenant, t.paid = s_.paid;
     t.attempt = result_.tries;
     return t;
 }
 
-http::Request Viewer::request() const {
+http::Request PlayerEmulator::request() const {
     hints::Keys keys;
     keys.values["sid"] = s_.sid;
     keys.values["sf"] = hints::Token{"h"};
@@ -78,17 +78,17 @@
     return r;
 }
 
-void Viewer::ask() {
+void PlayerEmulator::ask() {
     result_.tries += 1;
     io::Address address;
     std::tie(asked_director_, address) = director_();
     asked_at_ = loop_.now();
-    Tap t = tap_of("ask");
+    SocketEvent t = tap_of("ask");
     // Only these carry a sid that the director can know the viewer by.
-    t.text = s_.hints == HintStyle::missing || s_.hints == HintStyle::contradictory ||
-                     s_.hints == HintStyle::over_long
-                 ? "unknown"
-                 : "";
+    t.details = s_.hints == HintStyle::missing || s_.hints == HintStyle::contradictory ||
+                        s_.hints == HintStyle::over_long
+                    ? "unknown"
+                    : "";
     tap_(t);
     http::CallOptions options;
     options.connect_timeout = 1000;
@@ -97,16 +97,16 @@
     const auto number = static_cast<std::uint64_t>(result_.tries);
     call_ = client_.send(address, request(), options,
                          [this, number](const http::CallResult& r) { answered(number, r); });
-    if (s_.asks_twice && result_.tries == 1) {
-        Tap twice = tap_of("ask_again");
-        twice.text = t.text;
+    if (s_.sends_duplicate && result_.tries == 1) {
+        SocketEvent twice = tap_of("ask_again");
+        twice.details = t.details;
         tap_(twice);
         twin_due_ = loop_.after(s_.patience + 100, [this] {
             second_.reset();
             tap_(tap_of("gave_up_again"));
         });
         second_ = client_.send(address, request(), options, [this](const http::CallResult& r) {
-            Tap t = tap_of("answer_again");
+            SocketEvent t = tap_of("answer_again");
             t.status = r.outcome == http::CallOutcome::response ? r.response.status : 0;
             tap_(t);
             twin_due_.stop();
@@ -115,8 +115,8 @@
         });
     }
     patience_ = loop_.after(s_.patience + 100, [this] { gave_up(); });
-    if (s_.leaves_after >= 0 && result_.tries == 1)
-        leave_ = loop_.after(s_.leaves_after, [this] {
+    if (s_.leave_after >= 0 && result_.tries == 1)
+        leave_ = loop_.after(s_.leave_after, [this] {
             if (!call_) return;
             call_.reset();
             drop_twin();
@@ -127,27 +127,27 @@
 }
 
 // The answer did not come: a broken rule, unless the director itself was down.
-void Viewer::gave_up() {
+void PlayerEmulator::gave_up() {
     tap_(tap_of("gave_up"));
     call_.reset();
     result_.abandoned += 1;
     again(0);
 }
 
-void Viewer::answered(std::uint64_t, const http::CallResult& r) {
+void PlayerEmulator::answered(std::uint64_t, const http::CallResult& r) {
     const std::shared_ptr<http::Call> keep(std::move(call_));
     loop_.post([keep] {});
     patience_.stop();
     leave_.stop();
-    Tap t = tap_of("answer");
+    SocketEvent t = tap_of("answer");
     t.status = r.outcome == http::CallOutcome::response ? r.response.status : 0;
-    t.answer = r.outcome != http::CallOutcome::response ? http::name(r.outcome)
-               : t.status == 200                        ? "plays"
-               : t.status == 503                        ? "refused"
-               : t.status == 504                        ? "failed"
-                                                        : "other";
+    t.outcome = r.outcome != http::CallOutcome::response ? http::name(r.outcome)
+                : t.status == 200                        ? "plays"
+                : t.status == 503                        ? "refused"
+                : t.status == 504                        ? "failed"
+                                                         : "other";
     tap_(t);
-    if (t.answer == "plays") {
+    if (t.outcome == "plays") {
         // The first variant, as RFC 8216 lets a player begin with.
         const std::string& body = r.response.body;
         const std::size_t at = body.find("\nhttp://");
@@ -156,10 +156,10 @@
         return play(uri);
     }
     io::Time least = 0;
-    if (t.answer == "refused") {
+    if (t.outcome == "refused") {
         result_.refused += 1;
         least = std::atof(std::string(r.response.headers.get("Retry-After").value_or("0")).c_str()) * 1000;
-    } else if (t.answer == "failed") {
+    } else if (t.outcome == "failed") {
         result_.failed += 1;
         if (s_.paid) return finish();  // it may have run: this viewer stays away
     } else {
@@ -168,15 +168,16 @@
     again(least);
 }
 
-void Viewer::again(io::Time least) {
+void PlayerEmulator::again(io::Time least) {
     auto& random = loop_.random();
-    const io::Time wait = std::uniform_real_distribution<double>(s_.again_least, s_.again_most)(random);
-    const bool comes = std::bernoulli_distribution(s_.comes_again)(random);
-    if (!comes || result_.tries >= s_.most_tries || loop_.now() + wait >= ends_) return finish();
+    const io::Time wait =
+        std::uniform_real_distribution<double>(s_.min_return_delay, s_.max_return_delay)(random);
+    const bool comes = std::bernoulli_distribution(s_.return_probability)(random);
+    if (!comes || result_.tries >= s_.max_tries || loop_.now() + wait >= ends_) return finish();
     pause_ = loop_.after(std::max(wait, std::min(least, 3000.0)), [this] { ask(); });
 }
 
-void Viewer::play(const std::string& uri) {
+void PlayerEmulator::play(const std::string& uri) {
     // http://ADDRESS/media/TOKEN/RUNG/index.m3u8
     const std::size_t slash = uri.find('/', 7);
     const std::size_t rung_end = uri.rfind('/');
@@ -195,7 +196,7 @@
     fetch();
 }
 
-void Viewer::fetch() {
+void PlayerEmulator::fetch() {
     if (loop_.now() >= ends_) return finish();
     segment_began_ = loop_.now();
     http::Request r;
@@ -213,7 +214,7 @@
         client_.send(node_, std::move(r), options, [this](const http::CallResult& c) { segment_came(c); });
 }
 
-void Viewer::segment_came(const http::CallResult& r) {
+void PlayerEmulator::segment_came(const http::CallResult& r) {
     const std::shared_ptr<http::Call> keep(std::move(media_));
     loop_.post([keep] {});
     if (r.outcome != http::CallOutcome::response || r.response.status != 200) {
@@ -232,7 +233,7 @@
     misses_ = 0;
     const io::Time took = std::max(r.elapsed, 1.0);
     const double share = std::min(1.0, s_.segment / std::max(s_.segment, took));
-    const double lost = share < 0.98 ? (0.98 - share) * s_.short_points : 0;
+    const double lost = share < 0.98 ? (0.98 - share) * s_.shortfall_penalty : 0;
     const double played = std::min(s_.segment, ends_ - segment_began_) / 1000;
     result_.earned +=
         s_.worth * s_.rung_worth.at(static_cast<std::size_t>(rung_)) * played * std::max(0.0, 1 - lost);
@@ -244,7 +245,7 @@
             for (std::size_t k = 0; k < s_.rung_kb.size(); ++k)
                 if (std::llround(s_.rung_kb[k] * 8) <= *mb) best = static_cast<int>(k);
             best = std::min(best, s_.top);
-            if (best != rung_) result_.rungs_seen += 1;
+            if (best != rung_) result_.rung_changes += 1;
             rung_ = best;
         }
     if (share < 0.75 && std::bernoulli_distribution(0.1)(loop_.random())) return finish();
@@ -252,14 +253,14 @@
 }
 
 // The viewer closes its second request itself: no answer is owed to it any more.
-void Viewer::drop_twin() {
+void PlayerEmulator::drop_twin() {
     if (!second_) return;
     second_.reset();
     twin_due_.stop();
     tap_(tap_of("left_again"));
 }
 
-void Viewer::finish() {
+void PlayerEmulator::finish() {
     if (over_) return;
     over_ = true;
     drop_twin();
--- a/src/standins/player.hpp
+++ b/src/standins/player.hpp
@@ -13,7 +13,7 @@
 
 enum class HintStyle { query, headers, missing, malformed, contradictory, over_long };
 
-struct ViewerSettings {
+struct PlayerSettings {
     std::string name, sid, tenant, cls, title;
     bool paid = false;
     io::Time patience = 5000, aim = 1500, length = 30000;
@@ -21,31 +21,31 @@
     double worth = 1;                         // of a second at worth 1
     int top = 0;
     HintStyle hints = HintStyle::query;
-    bool asks_twice = false;     // the same request again while the first is out
-    io::Time leaves_after = -1;  // closes its connection unanswered so soon; below 0: never
-    double comes_again = 0.85;   // after a break, a refusal, a failure of a harmless class
-    io::Time again_least = 1600, again_most = 2900;
-    int most_tries = 4;
+    bool sends_duplicate = false;      // the same request again while the first is out
+    io::Time leave_after = -1;         // closes its connection unanswered so soon; below 0: never
+    double return_probability = 0.85;  // after a break, a refusal, a failure of a harmless class
+    io::Time min_return_delay = 1600, max_return_delay = 2900;
+    int max_tries = 4;
     io::Time segment = 1000;
-    double short_points = 6;  // worth lost for each point of rate missing under 98 in 100
+    double shortfall_penalty = 6;  // worth lost for each point of rate missing under 98 in 100
 };
 
-struct ViewerResult {
+struct PlayerResult {
     std::string tenant, cls;
     bool started = false,
          in_time = false;  // in_time: playing within the aim, by the first try or a later one
-    int tries = 0, refused = 0, failed = 0, abandoned = 0, broke = 0, rungs_seen = 0, moves = 0;
+    int tries = 0, refused = 0, failed = 0, abandoned = 0, broke = 0, rung_changes = 0, moves = 0;
     io::Time waited = -1;  // to the first playlist, from the first ask
     double offered = 0, earned = 0;
 };
 
-class Viewer {
+class PlayerEmulator {
   public:
     // `director` gives the address to ask this time.
-    Viewer(io::Loop& loop, http::Client& client, ViewerSettings settings,
-           std::function<std::pair<std::string, io::Address>()> director, TapSink tap,
-           std::function<void(const ViewerResult&)> done);
-    ~Viewer();
+    PlayerEmulator(io::Loop& loop, http::Client& client, PlayerSettings settings,
+                   std::function<std::pair<std::string, io::Address>()> director, EventSink tap,
+                   std::function<void(const PlayerResult&)> done);
+    ~PlayerEmulator();
 
   private:
     void ask();
@@ -58,15 +58,15 @@
     void segment_came(const http::CallResult& result);
     void drop_twin();
     void finish();
-    Tap tap_of(const char* what) const;
+    SocketEvent tap_of(const char* what) const;
 
     io::Loop& loop_;
     http::Client& client_;
-    ViewerSettings s_;
+    PlayerSettings s_;
     std::function<std::pair<std::string, io::Address>()> director_;
-    TapSink tap_;
-    std::function<void(const ViewerResult&)> done_;
-    ViewerResult result_;
+    EventSink tap_;
+    std::function<void(const PlayerResult&)> done_;
+    PlayerResult result_;
     std::string asked_director_, base_path_;
     io::Address node_;
     std::unique_ptr<http::Call> call_, second_, media_;
--- a/src/standins/tap.hpp
+++ b/src/standins/tap.hpp
@@ -8,22 +8,22 @@
 
 namespace ivyfield::standins {
 
-struct Tap {
+struct SocketEvent {
     // At nodes: "node_start", "node_down", "node_fell", "hang", "thaw", "setup" (a request came),
     // "setup_over" (answered, or its connection closed), "ran" (the work of the set-up was done), "rung",
     // "cancel", "end" (of a playing session). At the list: "list_sent". At players: "ask", "answer",
     // "gave_up", "left", and "ask_again", "answer_again", "gave_up_again" and "left_again" of a request that
     // was sent twice.
-    std::string what;
+    std::string type;
     io::Time at = 0;
-    std::string where;     // the node's, list's or player's name
+    std::string source;    // the node's, list's or player's name
     std::string director;  // whom it concerns
-    std::string sid, cls, title, tenant, answer;
+    std::string sid, cls, title, tenant, outcome;
     std::uint64_t session = 0;
     int attempt = 0, rung = 0, status = 0;
     bool paid = false;
-    std::string text;  // list_sent: the states told, like "n1=ready n2=draining"
+    std::string details;  // list_sent: the states told, like "n1=ready n2=draining"
 };
-using TapSink = std::function<void(const Tap&)>;
+using EventSink = std::function<void(const SocketEvent&)>;
 
 }  // namespace ivyfield::standins
--- a/tests/audit/audit_test.cpp
+++ b/tests/audit/audit_test.cpp
@@ -5,42 +5,44 @@
 #include <gtest/gtest.h>
 
 using namespace ivyfield::audit;
-using ivyfield::standins::Tap;
+using ivyfield::standins::SocketEvent;
 
 namespace {
 
 struct Traffic {
-    std::vector<Tap> taps;
-    Terms terms;
+    std::vector<SocketEvent> taps;
+    RuleLimits terms;
     std::vector<Outage> outages;
     Traffic() {
         terms.classes["paid"] = {true, 0, 0, 5000};
         terms.classes["free"] = {false, 1, 2, 5000};
-        terms.budget = true, terms.budget_free = 1, terms.budget_per_request = 0.5,
-        terms.budget_window = 10000;
+        terms.has_retry_budget = true, terms.free_retries = 1, terms.retries_per_request = 0.5,
+        terms.retry_window = 10000;
     }
-    Tap& add(double at, const std::string& what, const std::string& where, const std::string& cls = "paid") {
-        Tap t;
-        t.at = at, t.what = what, t.where = where, t.cls = cls, t.director = "d0", t.sid = "s", t.title = "t";
+    SocketEvent& add(double at, const std::string& what, const std::string& where,
+                     const std::string& cls = "paid") {
+        SocketEvent t;
+        t.at = at, t.type = what, t.source = where, t.cls = cls, t.director = "d0", t.sid = "s",
+        t.title = "t";
         t.session = 1, t.rung = 2;
         taps.push_back(t);
         return taps.back();
     }
     void answer(double at, const std::string& who, int status, const std::string& cls = "paid") {
-        Tap& t = add(at, "answer", who, cls);
+        SocketEvent& t = add(at, "answer", who, cls);
         t.status = status;
-        t.answer = status == 200 ? "plays" : status == 503 ? "refused" : "failed";
+        t.outcome = status == 200 ? "plays" : status == 503 ? "refused" : "failed";
     }
     void over(double at, const std::string& node, int attempt, int status, const char* how,
               const std::string& cls = "paid") {
-        Tap& t = add(at, "setup_over", node, cls);
-        t.attempt = attempt, t.status = status, t.answer = how;
+        SocketEvent& t = add(at, "setup_over", node, cls);
+        t.attempt = attempt, t.status = status, t.outcome = how;
     }
     std::vector<int> broken() {
         std::vector<int> out;
-        const Verdict v = judge(taps, terms, outages);
+        const AuditResult v = check_rules(taps, terms, outages);
         for (int rule = 1; rule <= 6; ++rule)
-            if (!v.kept(rule)) out.push_back(rule);
+            if (!v.is_kept(rule)) out.push_back(rule);
         return out;
     }
 };
@@ -85,9 +87,9 @@
     EXPECT_EQ(t.broken(), Rules{1});
     t.taps[1].status = 504, t.taps[1].at = 5300;
     EXPECT_EQ(t.broken(), Rules{1});
-    t.taps[1].what = "left_again";
+    t.taps[1].type = "left_again";
     EXPECT_EQ(t.broken(), Rules{}) << "its player closed it";
-    t.taps[1].what = "gave_up_again";
+    t.taps[1].type = "gave_up_again";
     EXPECT_EQ(t.broken(), Rules{1});
     t.taps.pop_back();
     EXPECT_EQ(t.broken(), Rules{1}) << "never answered";
@@ -108,7 +110,7 @@
     t.over(600, "n1", 1, 200, "started");
     t.answer(610, "v", 200);
     EXPECT_EQ(t.broken(), Rules{2});
-    t.taps[2].answer = "full";
+    t.taps[2].outcome = "full";
     EXPECT_EQ(t.broken(), Rules{}) << "full proves that it never ran";
 }
 TEST(Audit, Rule2PaidRefusedThoughItMayHaveRun) {
@@ -148,22 +150,22 @@
 TEST(Audit, Rule3SentToADrainedOrVanishedNode) {
     for (const char* list : {"n0=draining n1=ready", "n0=gone n1=ready", "n1=ready"}) {
         Traffic t;
-        t.add(0, "list_sent", "list").text = "n0=ready n1=ready";
-        t.add(100, "list_sent", "list").text = list;
+        t.add(0, "list_sent", "list").details = "n0=ready n1=ready";
+        t.add(100, "list_sent", "list").details = list;
         t.add(500, "setup", "n0");
         EXPECT_EQ(t.broken(), Rules{}) << "within the grace";
         t.add(700, "setup", "n0").session = 2;
         EXPECT_EQ(t.broken(), Rules{3}) << list;
     }
     Traffic back;
-    back.add(0, "list_sent", "list").text = "n0=draining";
-    back.add(100, "list_sent", "list").text = "n0=ready";
+    back.add(0, "list_sent", "list").details = "n0=draining";
+    back.add(100, "list_sent", "list").details = "n0=ready";
     back.add(900, "setup", "n0");
     EXPECT_EQ(back.broken(), Rules{});
 }
 TEST(Audit, Rule4ANodePushedOver) {
     Traffic t;
-    t.add(0, "node_start", "n0").answer = "cold";
+    t.add(0, "node_start", "n0").outcome = "cold";
     EXPECT_EQ(t.broken(), Rules{});
     t.add(10, "node_fell", "n0");
     EXPECT_EQ(t.broken(), Rules{4});
@@ -219,7 +221,7 @@
         t.answer(k + 0.5, "v" + std::to_string(k), 504, "free");
     }
     const auto again = [&t](double at, std::uint64_t session) {
-        Tap& s = t.add(at, "setup", "n0", "free");
+        SocketEvent& s = t.add(at, "setup", "n0", "free");
         s.session = session, s.attempt = 1, s.title = "t" + std::to_string(session);
         t.over(at + 1, "n0", 1, 500, "error", "free");
         t.taps.back().session = session;
--- a/tests/day/day_test.cpp
+++ b/tests/day/day_test.cpp
@@ -10,12 +10,12 @@
 nlohmann::json file(const std::string& name) {
     return nlohmann::json::parse(config::read_file(IVYFIELD_SOURCE_DIR "/examples/days/" + name + ".json"));
 }
-day::DayFile loaded(const nlohmann::json& doc) {
-    const auto d = day::load_day(doc.dump());
+day::Scenario loaded(const nlohmann::json& doc) {
+    const auto d = day::load_scenario(doc.dump());
     for (const auto& f : d.faults) ADD_FAILURE() << f.path << ": " << f.message;
     return d.day;
 }
-void expect_good(const day::Report& r) { EXPECT_TRUE(r.good()) << r.table(); }
+void expect_good(const day::Report& r) { EXPECT_TRUE(r.has_passed()) << r.table(); }
 
 TEST(Day, AQuietDayPlaysNearlyAllInTime) {
     const auto r = cli::play_virtual_day(loaded(file("quiet")), 1, {});
@@ -29,11 +29,11 @@
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         const auto r = cli::play_virtual_day(loaded(file("bad-day")), seed, {});
         expect_good(r);
-        for (int rule : {1, 2, 3, 4, 5}) EXPECT_GT(r.verdict.checked.count(rule), 0u) << rule;
+        for (int rule : {1, 2, 3, 4, 5}) EXPECT_GT(r.verdict.check_counts.count(rule), 0u) << rule;
         EXPECT_GT(r.all.viewers, 100);
         EXPECT_GT(r.all.started, r.all.viewers / 3) << r.table();
-        EXPECT_GT(r.duplicates_asked, 2);
-        EXPECT_GT(r.further, 0);
+        EXPECT_GT(r.duplicate_requests, 2);
+        EXPECT_GT(r.further_attempts, 0);
     }
 }
 TEST(Day, DaysMadeForOneRuleKeepIt) {
@@ -41,7 +41,7 @@
         for (std::uint64_t seed = 1; seed <= 2; ++seed) {
             const auto r = cli::play_virtual_day(loaded(file(name)), seed, {});
             expect_good(r);
-            EXPECT_GT(r.verdict.checked.at(rule), 5) << r.table();
+            EXPECT_GT(r.verdict.check_counts.at(rule), 5) << r.table();
         }
 }
 // Nodes that came back between two looks of the list took set-ups unpaced: only their own hello tells in
@@ -74,11 +74,11 @@
     doc["arrivals"][0]["class"] = "nothing";
     doc["director"]["classes"][0]["floor"] = 9;
     std::vector<std::string> paths;
-    for (const auto& f : day::load_day(doc.dump()).faults) paths.push_back(f.path);
+    for (const auto& f : day::load_scenario(doc.dump()).faults) paths.push_back(f.path);
     EXPECT_EQ(paths, std::vector<std::string>{"/director/classes/0/floor"});
     doc["director"]["classes"][0].erase("floor");
     paths.clear();
-    for (const auto& f : day::load_day(doc.dump()).faults) paths.push_back(f.path);
+    for (const auto& f : day::load_scenario(doc.dump()).faults) paths.push_back(f.path);
     EXPECT_EQ(paths, (std::vector<std::string>{"/arrivals/0/class", "/faults/0/nodes", "/faults/1/value",
                                                "/faults/2/nodes", "/faults/3/directors"}));
 }
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -168,15 +168,17 @@
     Slip slip;
     std::map<int, std::unique_ptr<Rogue>> rogues;
     RogueHost(io::World& w, Slip s) : world(w), slip(s) {}
-    io::Address reserve(int n) override { return {"127.0.0.1", static_cast<std::uint16_t>(8001 + n)}; }
+    io::Address reserve_address(int n) override {
+        return {"127.0.0.1", static_cast<std::uint16_t>(8001 + n)};
+    }
     void start(int n, const std::string& text) override {
         rogues[n] =
             std::make_unique<Rogue>(world.start("d" + std::to_string(n)), config::load(text).config, slip);
     }
     void kill(int) override {}
-    void stall(int, bool) override {}
-    bool running(int) override { return true; }
-    io::Time slack() const override { return 5; }
+    void set_stalled(int, bool) override {}
+    bool is_running(int) override { return true; }
+    io::Time timing_tolerance() const override { return 5; }
 };
 
 std::vector<int> broken_by(Slip slip) {
@@ -199,20 +201,20 @@
         doc["arrivals"][0]["per_s"] = 10;
     }
     if (slip == Slip::over_seats || slip == Slip::none) doc["arrivals"][0]["per_s"] = 4;
-    const auto loaded = day::load_day(doc.dump());
+    const auto loaded = day::load_scenario(doc.dump());
     for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << ": " << f.message;
     io::World world(5);
     RogueHost host(world, slip);
     day::Report report;
     bool over = false;
-    day::Day day(world.start("rig"), loaded.day, 5, host, 1500,
-                 [&](const day::Report& r) { report = r, over = true; });
+    day::ScenarioRunner day(world.start("rig"), loaded.day, 5, host, 1500,
+                            [&](const day::Report& r) { report = r, over = true; });
     while (!over && world.step()) {
     }
     EXPECT_TRUE(over);
     std::vector<int> out;
     for (int rule = 1; rule <= 6; ++rule)
-        if (!report.verdict.kept(rule)) out.push_back(rule);
+        if (!report.verdict.is_kept(rule)) out.push_back(rule);
     return out;
 }
 using Rules = std::vector<int>;
--- a/tests/fronts/front_test.cpp
+++ b/tests/fronts/front_test.cpp
@@ -22,20 +22,20 @@
     io::World world{9};
     io::VirtualLoop& peer_loop = world.start("rig");
     io::VirtualLoop& director_loop = world.start("director");
-    std::vector<standins::Tap> taps;
+    std::vector<standins::SocketEvent> taps;
     fleet::Fleet fleet{[] {
         fleet::FleetSpec s;
         s.rack_kb = {1e6};
         return s;
     }()};
-    std::vector<std::unique_ptr<standins::Node>> nodes;
-    std::unique_ptr<standins::List> list;
+    std::vector<std::unique_ptr<standins::NodeEmulator>> nodes;
+    std::unique_ptr<standins::ServerListEmulator> list;
     std::unique_ptr<cli::DirectorProcess> director;
     http::Client client{peer_loop, {}};
 
     void SetUp() override {
-        list = std::make_unique<standins::List>(peer_loop, io::Address{"127.0.0.1", 8500}, "media",
-                                                standins::TapSink{});
+        list = std::make_unique<standins::ServerListEmulator>(peer_loop, io::Address{"127.0.0.1", 8500},
+                                                              "media", standins::EventSink{});
         for (int k = 0; k < 2; ++k) add_node(k);
         config::LoadResult loaded = config::load(make_config());
         for (const auto& f : loaded.errors) ADD_FAILURE() << f.path << f.message;
@@ -52,13 +52,13 @@
         s.rung_kb = {100, 200, 400};
         s.classes = {{"check", 1, true}, {"prep", 1, false}};
         s.listen = {"127.0.0.1", static_cast<std::uint16_t>(9000 + k)};
-        nodes.push_back(
-            std::make_unique<standins::Node>(peer_loop, fleet, fleet.add({0, 4000, 20}), s,
-                                             [this](const standins::Tap& t) { taps.push_back(t); }));
+        nodes.push_back(std::make_unique<standins::NodeEmulator>(
+            peer_loop, fleet, fleet.add_node({0, 4000, 20}), s,
+            [this](const standins::SocketEvent& t) { taps.push_back(t); }));
         nodes.back()->start(true);
-        standins::Listed one;
+        standins::ListedServer one;
         one.id = s.name, one.kind = "k", one.address = s.listen, one.position = k;
-        list->set(one);
+        list->set_server(one);
     }
     static std::string make_config() {
         return json{{"name", "d"},
@@ -112,7 +112,7 @@
     }
     int count_taps(const std::string& what) {
         return static_cast<int>(
-            std::count_if(taps.begin(), taps.end(), [&](const auto& t) { return t.what == what; }));
+            std::count_if(taps.begin(), taps.end(), [&](const auto& t) { return t.type == what; }));
     }
     std::int64_t announced_kbps(const http::Response& r) {
         const auto d = hints::decode_cmsd_dynamic(r.headers.get_all("CMSD-Dynamic"));
@@ -206,17 +206,18 @@
     EXPECT_EQ(count_taps("ran"), 1);
 }
 TEST_F(HttpFrontTest, AFrozenNodeFailsThePaidSessionOnceInTime) {
-    for (auto& node : nodes) node->freeze_after_paid(true);
+    for (auto& node : nodes) node->set_hang_after_paid_setup(true);
     const auto a = request_session("check", "sid=\"a\"");
     run_for(4900);
     EXPECT_EQ(a->answers, 0);
     run_for(200);
     EXPECT_EQ(a->result.response.status, 504);
     EXPECT_EQ(count_taps("setup"), 1);
-    for (auto& node : nodes) node->hang(false);
+    for (auto& node : nodes) node->set_hung(false);
     run_for(5000);
     EXPECT_EQ(a->answers, 1);
-    EXPECT_EQ(nodes[0]->sessions() + nodes[1]->sessions(), 0u) << "sessions without a player are cancelled";
+    EXPECT_EQ(nodes[0]->session_count() + nodes[1]->session_count(), 0u)
+        << "sessions without a player are cancelled";
 }
 TEST_F(HttpFrontTest, ADisconnectedPlayerIsAbandonedAndItsCapacityFreed) {
     {
@@ -227,7 +228,7 @@
     EXPECT_EQ(director->engine().counts().abandoned, 1u);
     run_for(10000);
     EXPECT_EQ(director->engine().open_sessions(), 0u);
-    EXPECT_EQ(nodes[0]->sessions() + nodes[1]->sessions(), 0u);
+    EXPECT_EQ(nodes[0]->session_count() + nodes[1]->session_count(), 0u);
 }
 TEST_F(HttpFrontTest, AHalfClosedPlayerStillGetsItsAnswer) {
     struct Raw : io::StreamHandler {
@@ -244,9 +245,9 @@
     EXPECT_EQ(raw.received.substr(0, 15), "HTTP/1.1 200 OK") << raw.received;
 }
 TEST_F(HttpFrontTest, ASetUpThatArrivesAsItsNodeStartsToDrainIsAnswered) {
-    standins::Listed one;
+    standins::ListedServer one;
     one.id = "n0", one.kind = "k", one.address = {"127.0.0.1", 9000}, one.state = "draining";
-    list->set(one);
+    list->set_server(one);
     const auto a = request_session("check", "sid=\"a\"");
     run_for(1000);
     EXPECT_EQ(a->result.response.status, 200);
@@ -257,13 +258,13 @@
         EXPECT_EQ(b->result.response.status, 200);
     }
     for (const auto& t : taps)
-        if (t.what == "setup") {
-            EXPECT_EQ(t.where, "n1");
+        if (t.type == "setup") {
+            EXPECT_EQ(t.source, "n1");
         }
 }
 TEST_F(HttpFrontTest, WithoutNodesTheRefusalCarriesARetryAfter) {
-    list->remove("n0");
-    list->remove("n1");
+    list->remove_server("n0");
+    list->remove_server("n1");
     run_for(200);
     const auto a = request_session("check", "sid=\"a\"");
     run_for(2000);
@@ -293,13 +294,13 @@
     run_for(300);
     const std::string url = media_url(a->result.response);
     const auto before = announced_kbps(fetch(url).response);
-    for (const auto& t : std::vector<standins::Tap>(taps)) {
-        if (t.what != "setup") continue;
+    for (const auto& t : std::vector<standins::SocketEvent>(taps)) {
+        if (t.type != "setup") continue;
         http::Request r;
         r.method = "PUT", r.body = "{\"rung\":0}";
         r.target = "/v1/sessions/d/" + std::to_string(t.session) + "/0/rung";
         const auto call =
-            client.send({"127.0.0.1", static_cast<std::uint16_t>(t.where == "n0" ? 9000 : 9001)}, r, {},
+            client.send({"127.0.0.1", static_cast<std::uint16_t>(t.source == "n0" ? 9000 : 9001)}, r, {},
                         [](const http::CallResult&) {});
         run_for(200);
     }
@@ -311,11 +312,11 @@
     run_for(300);
     const std::string url = media_url(a->result.response);
     const auto t =
-        *std::find_if(taps.begin(), taps.end(), [](const auto& one) { return one.what == "setup"; });
+        *std::find_if(taps.begin(), taps.end(), [](const auto& one) { return one.type == "setup"; });
     http::Request r;
     r.method = "POST", r.target = "/v1/sessions/d/" + std::to_string(t.session) + "/0/move";
-    const auto call = client.send({"127.0.0.1", static_cast<std::uint16_t>(t.where == "n0" ? 9000 : 9001)}, r,
-                                  {}, [](const http::CallResult&) {});
+    const auto call = client.send({"127.0.0.1", static_cast<std::uint16_t>(t.source == "n0" ? 9000 : 9001)},
+                                  r, {}, [](const http::CallResult&) {});
     run_for(300);
     const auto gone = fetch(url);
     EXPECT_EQ(gone.response.status, 410);
@@ -344,7 +345,7 @@
     EXPECT_EQ(count_taps("ran"), 1);
     run_for(10000);
     EXPECT_EQ(director->engine().established_sessions(), 0u) << "the session's end was not received";
-    EXPECT_EQ(nodes[0]->sessions() + nodes[1]->sessions(), 0u);
+    EXPECT_EQ(nodes[0]->session_count() + nodes[1]->session_count(), 0u);
     world.kill(again);
     director.reset();
 }
--- a/tests/nodes/link_test.cpp
+++ b/tests/nodes/link_test.cpp
@@ -38,7 +38,7 @@
         s.rack_kb.assign(kNodes, 1e9);
         return s;
     }()};
-    std::vector<std::unique_ptr<standins::Node>> nodes;
+    std::vector<std::unique_ptr<standins::NodeEmulator>> nodes;
     std::map<ServerId, io::Address> all;
     Settings settings;
     Heard heard;
@@ -56,8 +56,8 @@
             s.rung_kb = {100};
             s.classes = {{"c", 1, false}};
             s.idle = 1e9;
-            nodes.push_back(std::make_unique<standins::Node>(rig, fleet, fleet.add({k, 1e6, 1000}), s,
-                                                             standins::TapSink{}));
+            nodes.push_back(std::make_unique<standins::NodeEmulator>(
+                rig, fleet, fleet.add_node({k, 1e6, 1000}), s, standins::EventSink{}));
             nodes.back()->start(true);
             all[static_cast<ServerId>(k)] = nodes.back()->address();
         }
@@ -152,16 +152,16 @@
     EXPECT_EQ(heard.over_ + heard.lost_, 0);
 }
 TEST_F(ManyNodes, ASilentNodesSessionsAreDoubtfulUntilItSpeaks) {
-    nodes[0]->hang(true);
+    nodes[0]->set_hung(true);
     run(60000);
     EXPECT_EQ(heard.lost_, kEach);
     EXPECT_EQ(link->doubtful(), std::size_t(kEach));
     EXPECT_EQ(heard.released_, 0);
-    nodes[0]->hang(false);
+    nodes[0]->set_hung(false);
     run(10000);
     EXPECT_EQ(heard.released_, kEach);
     EXPECT_EQ(link->doubtful(), 0u);
-    EXPECT_EQ(nodes[0]->sessions(), 0u) << "they are ended there: their viewers were told so";
+    EXPECT_EQ(nodes[0]->session_count(), 0u) << "they are ended there: their viewers were told so";
 }
 TEST_F(ManyNodes, ANodeOfAnEarlierProtocolIsToldAndGetsNothing) {
     http::Server old(rig, {"127.0.0.1", 7000}, {}, [](const http::ExchangePtr& e) {
