--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -23,318 +23,331 @@
 
 namespace {
 
-class Judge {
+// Replays the recorded events in order and collects violations.
+class RuleChecker {
   public:
-    Judge(const std::vector<SocketEvent>& taps, const RuleLimits& terms, const std::vector<Outage>& outages)
-        : taps_(taps), terms_(terms), outages_(outages) {}
+    RuleChecker(const std::vector<SocketEvent>& events, const RuleLimits& limits,
+                const std::vector<Outage>& outages)
+        : events_(events), limits_(limits), outages_(outages) {}
     AuditResult run() {
-        // The second of two alike requests is one more that the director took, unless it joined the session
-        // of the first: both play. It comes as a new one where it has no sid, or the first was refused
-        // before.
+        // A duplicate request counts as a further request of the director unless it joined the session of the
+        // first, in which case both play. It is a new request if it carries no usable sid or if the first was
+        // rejected before.
         std::map<std::string, int> first, second;
-        std::set<std::string> apart;
-        for (const SocketEvent& t : taps_) {
-            if (t.type == "ask_again" && t.details == "unknown") apart.insert(t.source);
+        std::set<std::string> unknown_players;
+        for (const SocketEvent& t : events_) {
+            if (t.type == "ask_again" && t.details == "unknown") unknown_players.insert(t.source);
             if (t.type == "answer") first.emplace(t.source, t.status);
             if (t.type == "answer_again") second.emplace(t.source, t.status);
         }
-        for (const auto& [who, status] : second)
-            if (status == 200 && !apart.count(who) && first.count(who) && first.at(who) == 200)
-                joined_.insert(who);
-        for (const SocketEvent& t : taps_) {
-            if (t.type == "ask") on_ask(t);
+        for (const auto& [player, status] : second)
+            if (status == 200 && !unknown_players.count(player) && first.count(player) &&
+                first.at(player) == 200)
+                joined_duplicates_.insert(player);
+        for (const SocketEvent& t : events_) {
+            if (t.type == "ask") check_request(t);
             else if (t.type == "ask_again" || t.type == "answer_again" || t.type == "gave_up_again" ||
                      t.type == "left_again")
-                on_twin(t);
-            else if (t.type == "answer" || t.type == "gave_up" || t.type == "left") on_answer(t);
-            else if (t.type == "setup") on_setup(t);
-            else if (t.type == "setup_over") on_setup_over(t);
-            else if (t.type == "ran") on_ran(t);
-            else if (t.type == "rung") on_rung(t);
-            else if (t.type == "end" || t.type == "cancel") leave_seat({t.director, t.session, t.attempt});
-            else if (t.type == "list_sent") on_list(t);
-            else if (t.type == "node_fell") on_fell(t);
-            else if (t.type == "node_start") on_start(t);
-            else if (t.type == "node_down") on_node_down(t);
-            else if (t.type == "hang") hung_.insert(t.source);
-            else if (t.type == "thaw") hung_.erase(t.source);
+                check_duplicate(t);
+            else if (t.type == "answer" || t.type == "gave_up" || t.type == "left") check_answer(t);
+            else if (t.type == "setup") check_setup(t);
+            else if (t.type == "setup_over") finish_setup(t);
+            else if (t.type == "ran") check_completed_setup(t);
+            else if (t.type == "rung") check_rung_change(t);
+            else if (t.type == "end" || t.type == "cancel") release_seat({t.director, t.session, t.attempt});
+            else if (t.type == "list_sent") record_server_list(t);
+            else if (t.type == "node_fell") report_overload(t);
+            else if (t.type == "node_start") count_cold_start(t);
+            else if (t.type == "node_down") release_node_seats(t);
+            else if (t.type == "hang") hung_nodes_.insert(t.source);
+            else if (t.type == "thaw") hung_nodes_.erase(t.source);
         }
-        for (const auto& [who, ask] : asks_)
-            if (!down(ask.director, ask.at, ask.at + patience(ask.cls)))
-                breach(1, ask.at,
-                       ask.source + " (sid " + ask.sid + ") never heard an answer of " + ask.director);
-        for (const auto& [who, ask] : twins_)
-            if (!down(ask.director, ask.at, ask.at + patience(ask.cls)))
-                breach(1, ask.at, ask.source + "'s second request never heard an answer of " + ask.director);
+        for (const auto& [player, ask] : pending_requests_)
+            if (!was_down(ask.director, ask.at, ask.at + patience_of(ask.cls)))
+                add_violation(1, ask.at,
+                              ask.source + " (sid " + ask.sid + ") never heard an answer of " + ask.director);
+        for (const auto& [player, ask] : pending_duplicates_)
+            if (!was_down(ask.director, ask.at, ask.at + patience_of(ask.cls)))
+                add_violation(1, ask.at,
+                              ask.source + "'s second request never heard an answer of " + ask.director);
         return result_;
     }
 
   private:
-    void breach(int rule, double at, const std::string& what) {
+    void add_violation(int rule, double at, const std::string& what) {
         result_.violations.push_back({rule, at, what});
     }
-    double patience(const std::string& cls) const {
-        const auto it = terms_.classes.find(cls);
-        return it == terms_.classes.end() ? 0 : it->second.patience;
+    double patience_of(const std::string& cls) const {
+        const auto it = limits_.classes.find(cls);
+        return it == limits_.classes.end() ? 0 : it->second.patience;
     }
-    bool paid(const std::string& cls) const {
-        const auto it = terms_.classes.find(cls);
-        return it != terms_.classes.end() && it->second.paid;
+    bool is_non_idempotent(const std::string& cls) const {
+        const auto it = limits_.classes.find(cls);
+        return it != limits_.classes.end() && it->second.non_idempotent;
     }
-    bool down(const std::string& director, double from, double to) const {
+    bool was_down(const std::string& director, double from, double to) const {
         for (const Outage& o : outages_)
             if (o.director == director && o.from <= to && from <= o.to) return true;
         return false;
     }
 
-    // Since when the director's present life can have acted; what an earlier one did is not its own.
-    double life_of(const std::string& director, double at) const {
-        double born = -1;
+    // Start of the director's incarnation at `at`. What earlier incarnations did is not held against it.
+    double incarnation_start(const std::string& director, double at) const {
+        double started_at = -1;
         for (const Outage& o : outages_)
-            if (o.process_ended && o.director == director && o.from <= at) born = std::max(born, o.from);
-        return born;
+            if (o.process_ended && o.director == director && o.from <= at)
+                started_at = std::max(started_at, o.from);
+        return started_at;
     }
 
-    // ---- 1: one answer, in time ----
-    void on_ask(const SocketEvent& t) {
+    // ---- Rule 1: every request gets one answer, in time ----
+    void check_request(const SocketEvent& t) {
         result_.check_counts[1] += 1;
-        asks_[t.source] = t;
-        requests_[t.director].push_back(t.at);
+        pending_requests_[t.source] = t;
+        request_times_[t.director].push_back(t.at);
     }
-    // The second of two alike requests is owed an answer of its own, unless its player closes it before.
-    void on_twin(const SocketEvent& t) {
+    // A duplicate request has to get an answer of its own, unless its player closes the connection first.
+    void check_duplicate(const SocketEvent& t) {
         if (t.type == "ask_again") {
             result_.check_counts[1] += 1;
-            twins_[t.source] = t;
-            if (!joined_.count(t.source)) requests_[t.director].push_back(t.at);
+            pending_duplicates_[t.source] = t;
+            if (!joined_duplicates_.count(t.source)) request_times_[t.director].push_back(t.at);
             return;
         }
-        const auto it = twins_.find(t.source);
-        if (it == twins_.end())
+        const auto it = pending_duplicates_.find(t.source);
+        if (it == pending_duplicates_.end())
             return t.type == "left_again"
                        ? void()
-                       : breach(1, t.at, t.source + " heard a second answer to its second request");
+                       : add_violation(1, t.at, t.source + " heard a second answer to its second request");
         const SocketEvent ask = it->second;
-        twins_.erase(it);
-        if (t.type == "left_again" || down(ask.director, ask.at, t.at)) return;
+        pending_duplicates_.erase(it);
+        if (t.type == "left_again" || was_down(ask.director, ask.at, t.at)) return;
         if (t.type == "gave_up_again")
-            breach(1, t.at, t.source + "'s second request heard nothing of " + ask.director + " in its time");
+            add_violation(1, t.at,
+                          t.source + "'s second request heard nothing of " + ask.director + " in its time");
         else if (t.status != 200 && t.status != 503 && t.status != 504)
-            breach(1, t.at, t.source + "'s second request heard status " + std::to_string(t.status));
-        else if (t.at - ask.at > patience(ask.cls) + terms_.answer_tolerance + terms_.network_tolerance)
-            breach(1, t.at, t.source + "'s second request was answered late");
+            add_violation(1, t.at, t.source + "'s second request heard status " + std::to_string(t.status));
+        else if (t.at - ask.at > patience_of(ask.cls) + limits_.answer_tolerance + limits_.network_tolerance)
+            add_violation(1, t.at, t.source + "'s second request was answered late");
     }
-    void on_answer(const SocketEvent& t) {
-        const auto it = asks_.find(t.source);
-        if (it == asks_.end()) return breach(1, t.at, t.source + " heard a second answer");
+    void check_answer(const SocketEvent& t) {
+        const auto it = pending_requests_.find(t.source);
+        if (it == pending_requests_.end()) return add_violation(1, t.at, t.source + " heard a second answer");
         const SocketEvent ask = it->second;
-        asks_.erase(it);
-        if (t.type == "left" || down(ask.director, ask.at, t.at)) return;
+        pending_requests_.erase(it);
+        if (t.type == "left" || was_down(ask.director, ask.at, t.at)) return;
         const double late =
-            t.at - ask.at - patience(ask.cls) - terms_.answer_tolerance - terms_.network_tolerance;
+            t.at - ask.at - patience_of(ask.cls) - limits_.answer_tolerance - limits_.network_tolerance;
         if (t.type == "gave_up")
-            breach(1, t.at,
-                   t.source + " (sid " + t.sid + ") heard nothing of " + t.director + " in its time");
+            add_violation(1, t.at,
+                          t.source + " (sid " + t.sid + ") heard nothing of " + t.director + " in its time");
         else if (t.status != 200 && t.status != 503 && t.status != 504)
-            breach(
+            add_violation(
                 1, t.at,
                 t.source + " (sid " + t.sid + ") heard \"" + t.outcome + "\" of " + t.director + " that ran");
         else if (late > 0)
-            breach(1, t.at,
-                   t.source + " (sid " + t.sid + ") was answered " + std::to_string(late) + " ms late");
-        // 2: refused though an attempt may have run.
-        if (t.status == 503 && paid(t.cls) && ask.details != "unknown") {
+            add_violation(
+                1, t.at, t.source + " (sid " + t.sid + ") was answered " + std::to_string(late) + " ms late");
+        // Rule 2: rejected although an attempt may have run.
+        if (t.status == 503 && is_non_idempotent(t.cls) && ask.details != "unknown") {
             result_.check_counts[2] += 1;
-            for (const auto& [key, doubt] : doubts_)
-                if (doubt.director == t.director && doubt.sid == t.sid && doubt.title == t.title &&
-                    doubt.at >= ask.at)
-                    breach(2, t.at,
-                           "sid " + t.sid + " was refused by " + t.director + ", though an attempt at " +
-                               doubt.source + " may have run");
+            for (const auto& [key, attempt] : possibly_run_)
+                if (attempt.director == t.director && attempt.sid == t.sid && attempt.title == t.title &&
+                    attempt.at >= ask.at)
+                    add_violation(2, t.at,
+                                  "sid " + t.sid + " was refused by " + t.director +
+                                      ", though an attempt at " + attempt.source + " may have run");
         }
     }
 
-    // ---- 2: no set-up twice, never two out ----
+    // ---- Rule 2: no set-up runs twice, never two attempts pending at once ----
     using Attempt = std::tuple<std::string, std::uint64_t, int>;
     using Session = std::pair<std::string, std::uint64_t>;
-    void on_setup(const SocketEvent& t) {
+    void check_setup(const SocketEvent& t) {
         const Session session{t.director, t.session};
-        if (const auto it = out_.find(session); it != out_.end()) {
-            // Called off by closing its connection: that word may come a little after the next attempt.
-            // A node that stands still can't tell when that was.
-            if (!hung_.count(it->second.source)) pending_overlap_[session] = {it->second, t};
+        if (const auto it = pending_setups_.find(session); it != pending_setups_.end()) {
+            // The director cancels an attempt by closing its connection. The node may see that a little after
+            // the next attempt; a hung node can't tell when it happened.
+            if (!hung_nodes_.count(it->second.source)) overlaps_[session] = {it->second, t};
         }
-        out_[session] = t;
-        if (t.attempt > 0 && paid(t.cls)) {
+        pending_setups_[session] = t;
+        if (t.attempt > 0 && is_non_idempotent(t.cls)) {
             result_.check_counts[2] += 1;
-            for (const auto& [key, doubt] : doubts_)
+            for (const auto& [key, attempt] : possibly_run_)
                 if (std::get<0>(key) == t.director && std::get<1>(key) == t.session &&
                     std::get<2>(key) < t.attempt)
-                    breach(2, t.at,
-                           "sid " + t.sid + ": " + t.director + " sent its paid set-up again to " + t.source +
-                               ", though an attempt at " + doubt.source + " may have run");
+                    add_violation(2, t.at,
+                                  "sid " + t.sid + ": " + t.director + " sent its paid set-up again to " +
+                                      t.source + ", though an attempt at " + attempt.source +
+                                      " may have run");
         }
-        if (paid(t.cls)) doubts_[{t.director, t.session, t.attempt}] = t;
-        on_drained(t);
-        on_budget(t);
-        on_terms(t);
+        if (is_non_idempotent(t.cls)) possibly_run_[{t.director, t.session, t.attempt}] = t;
+        check_drain(t);
+        check_retry_budget(t);
+        check_class_limits(t);
     }
-    void on_setup_over(const SocketEvent& t) {
+    void finish_setup(const SocketEvent& t) {
         const Session session{t.director, t.session};
-        if (const auto it = pending_overlap_.find(session);
-            it != pending_overlap_.end() && it->second.first.attempt == t.attempt) {
+        if (const auto it = overlaps_.find(session);
+            it != overlaps_.end() && it->second.first.attempt == t.attempt) {
             result_.check_counts[2] += 1;
-            if (t.at - it->second.second.at > terms_.network_tolerance &&
-                !down(t.director, it->second.first.at, t.at))
-                breach(2, t.at, "sid " + t.sid + ": two attempts of " + t.director + " were out at once");
-            pending_overlap_.erase(it);
+            if (t.at - it->second.second.at > limits_.network_tolerance &&
+                !was_down(t.director, it->second.first.at, t.at))
+                add_violation(2, t.at,
+                              "sid " + t.sid + ": two attempts of " + t.director + " were out at once");
+            overlaps_.erase(it);
         }
-        if (const auto it = out_.find(session); it != out_.end() && it->second.attempt == t.attempt)
-            out_.erase(it);
-        // "Full" proves that it never ran.
-        if (t.outcome == "full") doubts_.erase({t.director, t.session, t.attempt});
-        // Its seat is held for as long as the node may play it: an answer lost is a session that plays, and a
-        // node that stands still goes on with its work afterwards.
+        if (const auto it = pending_setups_.find(session);
+            it != pending_setups_.end() && it->second.attempt == t.attempt)
+            pending_setups_.erase(it);
+        // "full" proves that the set-up never ran.
+        if (t.outcome == "full") possibly_run_.erase({t.director, t.session, t.attempt});
+        // The seat stays taken as long as the node may play the session: a lost answer means that the session
+        // plays, and a hung node continues its pending work afterwards.
         const bool may_play =
-            t.status == 200 || t.outcome == "lost" || (t.outcome == "gone" && hung_.count(t.source));
-        if (!may_play) leave_seat({t.director, t.session, t.attempt});
+            t.status == 200 || t.outcome == "lost" || (t.outcome == "gone" && hung_nodes_.count(t.source));
+        if (!may_play) release_seat({t.director, t.session, t.attempt});
     }
-    void on_ran(const SocketEvent& t) {
-        if (!paid(t.cls)) return;
+    void check_completed_setup(const SocketEvent& t) {
+        if (!is_non_idempotent(t.cls)) return;
         result_.check_counts[2] += 1;
-        const auto [it, fresh] = ran_.emplace(Session{t.director, t.session}, t);
-        if (!fresh)
-            breach(2, t.at,
-                   "sid " + t.sid + " was set up twice by " + t.director + ": at " + it->second.source +
-                       " and at " + t.source);
+        const auto [it, is_first] = completed_setups_.emplace(Session{t.director, t.session}, t);
+        if (!is_first)
+            add_violation(2, t.at,
+                          "sid " + t.sid + " was set up twice by " + t.director + ": at " +
+                              it->second.source + " and at " + t.source);
     }
 
-    // ---- 3: drains ----
-    void on_list(const SocketEvent& t) {
+    // ---- Rule 3: no set-ups to draining or removed nodes ----
+    void record_server_list(const SocketEvent& t) {
         std::istringstream words(t.details);
         std::map<std::string, std::string> states;
         for (std::string word; words >> word;) {
             const std::size_t eq = word.rfind('=');
             states[word.substr(0, eq)] = word.substr(eq + 1);
         }
-        auto& told = told_[t.director];
-        for (auto& [node, since] : told)
-            if (!states.count(node) && since < 0) since = t.at;  // taken away
+        auto& not_ready_since = not_ready_since_[t.director];
+        for (auto& [node, since] : not_ready_since)
+            if (!states.count(node) && since < 0) since = t.at;  // removed from the list
         for (const auto& [node, state] : states) {
-            const auto it = told.find(node);
-            if (state == "ready") told[node] = -1;
-            else if (it == told.end() || it->second < 0) told[node] = t.at, result_.check_counts[3] += 1;
+            const auto it = not_ready_since.find(node);
+            if (state == "ready") not_ready_since[node] = -1;
+            else if (it == not_ready_since.end() || it->second < 0)
+                not_ready_since[node] = t.at, result_.check_counts[3] += 1;
         }
     }
-    void on_drained(const SocketEvent& t) {
-        const auto it = told_.find(t.director);
-        if (it == told_.end()) return;
+    void check_drain(const SocketEvent& t) {
+        const auto it = not_ready_since_.find(t.director);
+        if (it == not_ready_since_.end()) return;
         const auto since = it->second.find(t.source);
         if (since == it->second.end() || since->second < 0) return;
-        if (t.at > since->second + terms_.drain_stop_within + terms_.network_tolerance &&
-            !down(t.director, since->second, t.at))
-            breach(3, t.at,
-                   t.director + " sent to " + t.source + " " + std::to_string(t.at - since->second) +
-                       " ms after it was told that it drains or is gone");
+        if (t.at > since->second + limits_.drain_stop_within + limits_.network_tolerance &&
+            !was_down(t.director, since->second, t.at))
+            add_violation(3, t.at,
+                          t.director + " sent to " + t.source + " " + std::to_string(t.at - since->second) +
+                              " ms after it was told that it drains or is gone");
     }
 
-    // ---- 4: cold nodes ----
-    void on_start(const SocketEvent& t) {
+    // ---- Rule 4: cold nodes are not overloaded ----
+    void count_cold_start(const SocketEvent& t) {
         if (t.outcome == "cold") result_.check_counts[4] += 1;
     }
-    void on_fell(const SocketEvent& t) {
-        breach(4, t.at, t.source + " was pushed over while cold, last by " + t.director);
+    void report_overload(const SocketEvent& t) {
+        add_violation(4, t.at, t.source + " was pushed over while cold, last by " + t.director);
     }
 
-    // ---- 5: floors and seats ----
-    void on_terms(const SocketEvent& t) {
-        const auto it = terms_.classes.find(t.cls);
-        if (it == terms_.classes.end()) return;
-        floor(t, it->second);
+    // ---- Rule 5: lowest rungs and seats ----
+    void check_class_limits(const SocketEvent& t) {
+        const auto it = limits_.classes.find(t.cls);
+        if (it == limits_.classes.end()) return;
+        check_min_rung(t, it->second);
         if (it->second.seats <= 0) return;
         result_.check_counts[5] += 1;
-        auto& held = seats_[{t.director, t.title, t.cls}];
-        // What an earlier life of the director set up is not this one's.
-        const double born = life_of(t.director, t.at);
+        auto& held = held_seats_[{t.director, t.title, t.cls}];
+        // Sessions that an earlier incarnation of the director set up don't count for this one.
+        const double started_at = incarnation_start(t.director, t.at);
         for (auto one = held.begin(); one != held.end();)
-            one = one->second < born ? held.erase(one) : std::next(one);
+            one = one->second < started_at ? held.erase(one) : std::next(one);
         held[{t.director, t.session, t.attempt}] = t.at;
-        seat_of_[{t.director, t.session, t.attempt}] = {{t.director, t.title, t.cls}, t.source};
+        seat_by_attempt_[{t.director, t.session, t.attempt}] = {{t.director, t.title, t.cls}, t.source};
         if (static_cast<int>(held.size()) > it->second.seats)
-            breach(5, t.at,
-                   t.director + " holds " + std::to_string(held.size()) + " sessions of title " + t.title +
-                       " in class " + t.cls + ", which has " + std::to_string(it->second.seats) + " seats");
+            add_violation(5, t.at,
+                          t.director + " holds " + std::to_string(held.size()) + " sessions of title " +
+                              t.title + " in class " + t.cls + ", which has " +
+                              std::to_string(it->second.seats) + " seats");
     }
-    void floor(const SocketEvent& t, const ClassLimits& terms) {
+    void check_min_rung(const SocketEvent& t, const ClassLimits& limits) {
         result_.check_counts[5] += 1;
-        if (t.rung < terms.min_rung)
-            breach(5, t.at,
-                   t.director + " set rung " + std::to_string(t.rung) + " for class " + t.cls +
-                       ", whose floor is " + std::to_string(terms.min_rung));
+        if (t.rung < limits.min_rung)
+            add_violation(5, t.at,
+                          t.director + " set rung " + std::to_string(t.rung) + " for class " + t.cls +
+                              ", whose floor is " + std::to_string(limits.min_rung));
     }
-    void on_rung(const SocketEvent& t) {
-        const auto it = terms_.classes.find(t.cls);
-        if (it != terms_.classes.end()) floor(t, it->second);
+    void check_rung_change(const SocketEvent& t) {
+        const auto it = limits_.classes.find(t.cls);
+        if (it != limits_.classes.end()) check_min_rung(t, it->second);
     }
-    void leave_seat(const Attempt& key) {
-        const auto it = seat_of_.find(key);
-        if (it == seat_of_.end()) return;
-        seats_[it->second.first].erase(key);
-        seat_of_.erase(it);
+    void release_seat(const Attempt& key) {
+        const auto it = seat_by_attempt_.find(key);
+        if (it == seat_by_attempt_.end()) return;
+        held_seats_[it->second.first].erase(key);
+        seat_by_attempt_.erase(it);
     }
-    // All that was at the node is over, whether its director has heard of it or not.
-    void on_node_down(const SocketEvent& t) {
+    // All sessions of the node are over, whether or not their director knows it.
+    void release_node_seats(const SocketEvent& t) {
         std::vector<Attempt> gone;
-        for (const auto& [key, seat] : seat_of_)
+        for (const auto& [key, seat] : seat_by_attempt_)
             if (seat.second == t.source) gone.push_back(key);
-        for (const Attempt& key : gone) leave_seat(key);
+        for (const Attempt& key : gone) release_seat(key);
     }
 
-    // ---- 6: budget ----
-    void on_budget(const SocketEvent& t) {
-        if (!terms_.has_retry_budget || t.attempt == 0) return;
+    // ---- Rule 6: retry budget ----
+    void check_retry_budget(const SocketEvent& t) {
+        if (!limits_.has_retry_budget || t.attempt == 0) return;
         result_.check_counts[6] += 1;
-        auto& again = again_[t.director];
-        auto& requests = requests_[t.director];
-        again.push_back(t.at);
-        // Taps are a little later than the director's own clock: the window of requests is a little longer.
-        // Each life of a director counts from its start.
-        const double from = t.at - terms_.retry_window, born = life_of(t.director, t.at);
-        // And one that was long on its way to a node was sent before the window that its tap falls into.
-        while (!again.empty() && again.front() <= std::max(from + terms_.network_tolerance, born))
-            again.pop_front();
-        while (!requests.empty() && requests.front() <= std::max(from - 2 * terms_.network_tolerance, born))
+        auto& retries = retry_times_[t.director];
+        auto& requests = request_times_[t.director];
+        retries.push_back(t.at);
+        // Events are recorded a little later than the director's own clock has them, so the window of
+        // requests is a little longer. Each incarnation of a director counts from its start.
+        const double from = t.at - limits_.retry_window, started_at = incarnation_start(t.director, t.at);
+        // A set-up that took long to reach its node was sent before the window in which it was recorded.
+        while (!retries.empty() && retries.front() <= std::max(from + limits_.network_tolerance, started_at))
+            retries.pop_front();
+        while (!requests.empty() &&
+               requests.front() <= std::max(from - 2 * limits_.network_tolerance, started_at))
             requests.pop_front();
-        const double most =
-            terms_.free_retries + terms_.retries_per_request * static_cast<double>(requests.size());
-        if (static_cast<double>(again.size()) > most + 1e-9)
-            breach(6, t.at,
-                   t.director + " made " + std::to_string(again.size()) +
-                       " further attempts in a window that allows " + std::to_string(most));
+        const double max_retries =
+            limits_.free_retries + limits_.retries_per_request * static_cast<double>(requests.size());
+        if (static_cast<double>(retries.size()) > max_retries + 1e-9)
+            add_violation(6, t.at,
+                          t.director + " made " + std::to_string(retries.size()) +
+                              " further attempts in a window that allows " + std::to_string(max_retries));
     }
 
-    const std::vector<SocketEvent>& taps_;
-    const RuleLimits& terms_;
+    const std::vector<SocketEvent>& events_;
+    const RuleLimits& limits_;
     const std::vector<Outage>& outages_;
     AuditResult result_;
-    std::map<std::string, SocketEvent> twins_;
-    std::map<std::string, SocketEvent> asks_;  // by player
-    std::map<Session, SocketEvent> out_, ran_;
-    std::map<Session, std::pair<SocketEvent, SocketEvent>> pending_overlap_;
-    std::map<Attempt, SocketEvent> doubts_;  // paid attempts not proved never to have run
-    std::map<std::string, std::map<std::string, double>>
-        told_;  // director, node: told not to send since; -1: may
-    std::map<std::tuple<std::string, std::string, std::string>, std::map<Attempt, double>> seats_;
-    std::map<Attempt, std::pair<std::tuple<std::string, std::string, std::string>, std::string>> seat_of_;
-    std::map<std::string, std::deque<double>> requests_, again_;
-    std::set<std::string> hung_, joined_;
+    std::map<std::string, SocketEvent> pending_duplicates_;
+    std::map<std::string, SocketEvent> pending_requests_;  // by player
+    std::map<Session, SocketEvent> pending_setups_, completed_setups_;
+    std::map<Session, std::pair<SocketEvent, SocketEvent>> overlaps_;
+    std::map<Attempt, SocketEvent> possibly_run_;  // non-idempotent attempts not proved never to have run
+    // By director and node: when the director was told that the node is not ready; -1: it is ready.
+    std::map<std::string, std::map<std::string, double>> not_ready_since_;
+    std::map<std::tuple<std::string, std::string, std::string>, std::map<Attempt, double>> held_seats_;
+    std::map<Attempt, std::pair<std::tuple<std::string, std::string, std::string>, std::string>>
+        seat_by_attempt_;
+    std::map<std::string, std::deque<double>> request_times_, retry_times_;
+    std::set<std::string> hung_nodes_, joined_duplicates_;
 };
 
 }  // namespace
 
-AuditResult check_rules(const std::vector<SocketEvent>& taps, const RuleLimits& terms,
+AuditResult check_rules(const std::vector<SocketEvent>& events, const RuleLimits& limits,
                         const std::vector<Outage>& outages) {
-    return Judge(taps, terms, outages).run();
+    return RuleChecker(events, limits, outages).run();
 }
 
 }  // namespace ivyfield::audit
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -9,7 +9,7 @@
 
 int Fleet::add_node(const NodeSpec& spec) {
     if (spec.rack < 0 || spec.rack >= rack_count())
-        throw std::invalid_argument("a node in a rack that is not there");
+        throw std::invalid_argument("node in a rack that does not exist");
     nodes_.push_back({});
     nodes_.back().spec = spec;
     return static_cast<int>(nodes_.size()) - 1;
@@ -43,7 +43,8 @@
             node.recent_setups.pop_front();
         node.recent_setups.push_back(now);
         const double sustainable_rate = node.spec.max_streams / spec_.warmup_time * warmth(n, now);
-        // Two more than the budget: one set-up is never too many, nor are two that meet by chance.
+        // Two set-ups above the sustainable number are tolerated: a single one never overloads a node, nor do
+        // two that arrive together by chance.
         if (static_cast<double>(node.recent_setups.size()) >
             spec_.overload_multiple * sustainable_rate * spec_.overload_window + 2) {
             stop_node(n);
@@ -76,12 +77,12 @@
 
 double Fleet::requested_kb(int n) const {
     std::set<std::tuple<std::string, int>> shared;
-    double kb = node_state(n).background_kb;
+    double total_kb = node_state(n).background_kb;
     for (const auto& [id, s] : node_state(n).streams) {
         const bool joins = !s.sharing_key.empty() && !shared.insert({s.sharing_key, s.rung}).second;
-        kb += s.rate_kb * (joins ? spec_.join_rate_factor : 1);
+        total_kb += s.rate_kb * (joins ? spec_.join_rate_factor : 1);
     }
-    return kb;
+    return total_kb;
 }
 int Fleet::stream_count(int n) const {
     std::set<std::tuple<std::string, int>> shared;
@@ -94,16 +95,16 @@
     const double capacity = link_capacity(n) * warmth(n, now);
     return capacity > 0 ? requested_kb(n) / capacity : 0;
 }
-// An uplink is asked for what the rack's links let through.
+// An uplink carries what the links of its rack can carry.
 double Fleet::uplink_utilization(int rack, Time now) const {
     const double capacity = spec_.rack_kb.at(static_cast<std::size_t>(rack));
     if (capacity <= 0) return 0;
     const auto background = uplink_background_.find(rack);
-    double kb = background == uplink_background_.end() ? 0 : background->second;
+    double total_kb = background == uplink_background_.end() ? 0 : background->second;
     for (int n = 0; n < static_cast<int>(nodes_.size()); ++n)
         if (node_state(n).up && node_state(n).spec.rack == rack)
-            kb += std::min(requested_kb(n), link_capacity(n) * warmth(n, now));
-    return kb / capacity;
+            total_kb += std::min(requested_kb(n), link_capacity(n) * warmth(n, now));
+    return total_kb / capacity;
 }
 double Fleet::delivered_share(int n, Time now) const {
     const double link_share = 1 / std::max(1.0, link_utilization(n, now));
