--- a/src/cli/day_command.cpp
+++ b/src/cli/day_command.cpp
@@ -91,7 +91,7 @@
 
 void write_outputs(const day::Report& report, const std::vector<standins::SocketEvent>& taps,
                    const DayOptions& options) {
-    if (!options.report_path.empty()) io::write_file(options.report_path, report.json().dump(2) + "\n");
+    if (!options.report_path.empty()) io::write_file(options.report_path, report.to_json().dump(2) + "\n");
     if (options.tap_path.empty()) return;
     std::string lines;
     for (const standins::SocketEvent& tap : taps)
@@ -123,7 +123,7 @@
     for (const int number : {SIGINT, SIGTERM}) loop.on_signal(number, [&] { loop.stop(); });
     loop.run();
     if (!finished) throw std::runtime_error("the day was interrupted by a signal");
-    write_outputs(result, day.taps(), options);
+    write_outputs(result, day.events(), options);
     return result;
 }
 
@@ -140,7 +140,7 @@
     while (!finished && world.step()) {
     }
     if (!finished) throw std::runtime_error("the day has not ended, but no event is left in the simulation");
-    write_outputs(result, day.taps(), options);
+    write_outputs(result, day.events(), options);
     return result;
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -98,14 +98,14 @@
 int play_day_file(const std::string& path, std::optional<std::uint64_t> seed, bool simulated,
                   const cli::DayOptions& options) {
     const day::LoadedScenario loaded = day::load_scenario(config::read_file(path));
-    for (const config::ConfigError& error : loaded.faults)
+    for (const config::ConfigError& error : loaded.errors)
         std::cerr << path << ": " << (error.path.empty() ? "/" : error.path) << ": " << error.message << "\n";
-    if (!loaded.faults.empty()) return 2;
+    if (!loaded.errors.empty()) return 2;
     ::signal(SIGPIPE, SIG_IGN);
-    const std::uint64_t day_seed = seed.value_or(loaded.day.seed);
-    const day::Report report = simulated ? cli::play_virtual_day(loaded.day, day_seed, options)
-                                         : cli::play_day(loaded.day, day_seed, options);
-    std::cout << report.table();
+    const std::uint64_t day_seed = seed.value_or(loaded.scenario.seed);
+    const day::Report report = simulated ? cli::play_virtual_day(loaded.scenario, day_seed, options)
+                                         : cli::play_day(loaded.scenario, day_seed, options);
+    std::cout << report.format_table();
     return report.has_passed() ? 0 : 1;
 }
 
@@ -177,7 +177,7 @@
         [&](const standins::PlayerResult& result) {
             started = result.started;
             std::cout << (result.started ? "played" : "did not play") << " after " << result.tries
-                      << " tries, worth " << result.earned << " of " << result.offered << std::endl;
+                      << " tries, worth " << result.earned_worth << " of " << result.offered_worth << std::endl;
             loop.stop();
         });
     loop.run();
@@ -282,7 +282,7 @@
     ivyfield::standins::PlayerSettings viewer;
     viewer.rung_kb = node_settings.rung_kb;
     viewer.rung_worth = {0.16, 0.4, 0.61, 0.81, 1.0};
-    viewer.top = 4;
+    viewer.max_rung = 4;
     viewer.name = "viewer";
     CLI::App* play_command = app.add_subcommand("play",
                                                 "Play one session as a viewer and print each event.\n"
@@ -293,7 +293,7 @@
     play_command->add_option("--class", viewer.cls)->required();
     play_command->add_option("--title", viewer.title)->required();
     play_command->add_option("--sid", viewer.sid, "CMCD's sid")->default_val("one-viewer");
-    play_command->add_option("--length-ms", viewer.length)->default_val(10000);
+    play_command->add_option("--length-ms", viewer.watch_duration)->default_val(10000);
     play_command->callback([&] { exit_code = play_session(director, viewer); });
 
     CLI::App* hints =
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <stdexcept>
 
-#include "day/schema_text.hpp"  // made from config/day.schema.json by the build
+#include "day/schema_text.hpp"  // generated from config/day.schema.json by the build
 
 namespace ivyfield::day {
 
@@ -20,123 +20,126 @@
     try {
         doc = json::parse(text);
     } catch (const json::parse_error& e) {
-        out.faults.push_back({"", e.what()});
+        out.errors.push_back({"", e.what()});
         return out;
     }
-    out.faults = config::check_schema(kDaySchemaText, doc);
-    if (!out.faults.empty()) return out;
-    Scenario& d = out.day;
-    const auto fault = [&](const std::string& path, const std::string& why) {
-        out.faults.push_back({path, why});
+    out.errors = config::check_schema(kDaySchemaText, doc);
+    if (!out.errors.empty()) return out;
+    Scenario& d = out.scenario;
+    const auto add_error = [&](const std::string& path, const std::string& why) {
+        out.errors.push_back({path, why});
     };
     d.name = doc.at("name");
     d.seed = doc.value("seed", std::uint64_t(1));
-    d.length = doc.at("length_ms");
-    d.directors = doc.at("directors");
-    d.director = doc.at("director");
+    d.duration = doc.at("length_ms");
+    d.director_count = doc.at("directors");
+    d.director_config = doc.at("director");
     d.racks_kb = doc.at("racks_kb").get<std::vector<double>>();
     for (const json& n : doc.at("nodes")) {
         NodeGroup g;
         g.count = n.value("count", 1), g.rack = n.at("rack"), g.kind = n.at("kind");
         g.weight = n.value("weight", 1.0), g.cold = n.value("cold", false), g.up = n.value("up", true);
         if (g.rack >= static_cast<int>(d.racks_kb.size()))
-            fault("/nodes/" + std::to_string(d.nodes.size()) + "/rack", "racks_kb has no such rack");
-        d.nodes.push_back(g);
+            add_error("/nodes/" + std::to_string(d.node_groups.size()) + "/rack",
+                      "racks_kb has no such rack");
+        d.node_groups.push_back(g);
     }
     int nodes = 0;
-    for (const NodeGroup& g : d.nodes) nodes += g.count;
-    const auto range = [&](const json& of, const char* key, io::Time& least, io::Time& most) {
+    for (const NodeGroup& g : d.node_groups) nodes += g.count;
+    const auto read_range = [&](const json& of, const char* key, io::Time& min, io::Time& max) {
         if (!of.contains(key)) return;
-        least = of.at(key)[0], most = of.at(key)[1];
-        if (least > most) fault(std::string("/") + key, "the first is greater than the second");
+        min = of.at(key)[0], max = of.at(key)[1];
+        if (min > max) add_error(std::string("/") + key, "the minimum is greater than the maximum");
     };
-    range(doc, "setup_ms", d.min_setup_time, d.max_setup_time);
+    read_range(doc, "setup_ms", d.min_setup_time, d.max_setup_time);
     d.list_delay = doc.value("list_late_ms", 0.0);
     d.report_interval = doc.value("report_every_ms", 500.0);
-    // The director's part is checked as the configuration that it becomes.
-    json whole = d.director;
+    // The director part is checked as the complete configuration that a director will get.
+    json whole = d.director_config;
     whole["name"] = "d0", whole["listen"] = "127.0.0.1:1";
     whole["list"] = {{"consul", "127.0.0.1:1"}, {"service", "media"}};
-    if (whole.contains("fleet") && whole["fleet"].is_object()) whole["fleet"]["directors"] = d.directors;
+    if (whole.contains("fleet") && whole["fleet"].is_object()) whole["fleet"]["directors"] = d.director_count;
     const auto loaded = config::load(whole.dump());
-    for (const config::ConfigError& f : loaded.errors) fault("/director" + f.path, f.message);
-    if (!out.faults.empty()) return out;
-    for (std::size_t k = 0; k < d.nodes.size(); ++k)
-        if (std::find(loaded.config.kinds.begin(), loaded.config.kinds.end(), d.nodes[k].kind) ==
+    for (const config::ConfigError& f : loaded.errors) add_error("/director" + f.path, f.message);
+    if (!out.errors.empty()) return out;
+    for (std::size_t k = 0; k < d.node_groups.size(); ++k)
+        if (std::find(loaded.config.kinds.begin(), loaded.config.kinds.end(), d.node_groups[k].kind) ==
             loaded.config.kinds.end())
-            fault("/nodes/" + std::to_string(k) + "/kind", "director.fleet.kinds has no such kind");
+            add_error("/nodes/" + std::to_string(k) + "/kind", "director.fleet.kinds has no such kind");
     for (const json& a : doc.at("arrivals")) {
-        Arrivals one;
-        one.cls = a.at("class"), one.tenant = a.at("tenant"), one.per_s = a.at("per_s");
-        one.titles = a.value("titles", 20);
-        range(a, "length_ms", one.min_duration, one.max_duration);
+        ArrivalSpec one;
+        one.cls = a.at("class"), one.tenant = a.at("tenant"), one.rate_per_s = a.at("per_s");
+        one.title_count = a.value("titles", 20);
+        read_range(a, "length_ms", one.min_duration, one.max_duration);
         const std::string path = "/arrivals/" + std::to_string(d.arrivals.size());
-        const auto named = [](const auto& all, const std::string& name) {
+        const auto has_name = [](const auto& all, const std::string& name) {
             return std::any_of(all.begin(), all.end(), [&](const auto& c) { return c.name == name; });
         };
-        if (!named(loaded.config.settings.classes, one.cls)) fault(path + "/class", "no such class");
-        if (!named(loaded.config.settings.tenants, one.tenant)) fault(path + "/tenant", "no such tenant");
+        if (!has_name(loaded.config.settings.classes, one.cls)) add_error(path + "/class", "no such class");
+        if (!has_name(loaded.config.settings.tenants, one.tenant))
+            add_error(path + "/tenant", "no such tenant");
         d.arrivals.push_back(one);
     }
     if (doc.contains("players")) {
         const json& p = doc.at("players");
-        d.come_again = p.value("come_again", d.come_again);
-        range(p, "again_ms", d.min_return_delay, d.max_return_delay);
-        d.ask_twice = p.value("ask_twice", 0.0);
-        d.leave_early = p.value("leave_early", 0.0);
-        if (p.contains("hints")) d.hints = p.at("hints").get<std::map<std::string, double>>();
+        d.return_probability = p.value("come_again", d.return_probability);
+        read_range(p, "again_ms", d.min_return_delay, d.max_return_delay);
+        d.duplicate_probability = p.value("ask_twice", 0.0);
+        d.leave_probability = p.value("leave_early", 0.0);
+        if (p.contains("hints")) d.hint_probabilities = p.at("hints").get<std::map<std::string, double>>();
     }
     for (const json& f : doc.value("faults", json::array())) {
         FaultSpec one;
-        one.kind = f.at("kind"), one.at = f.at("at_ms"), one.length = f.value("for_ms", 0.0);
+        one.kind = f.at("kind"), one.start = f.at("at_ms"), one.duration = f.value("for_ms", 0.0);
         one.nodes = f.value("nodes", std::vector<int>{});
         one.directors = f.value("directors", std::vector<int>{});
         one.rack = f.value("rack", 0), one.value = f.value("value", 0.0), one.tenant = f.value("tenant", "");
         const std::string path = "/faults/" + std::to_string(d.faults.size());
         for (const int n : one.nodes)
-            if (n >= nodes) fault(path + "/nodes", "there are " + std::to_string(nodes) + " nodes");
+            if (n >= nodes) add_error(path + "/nodes", "there are " + std::to_string(nodes) + " nodes");
         for (const int n : one.directors)
-            if (n >= d.directors)
-                fault(path + "/directors", "there are " + std::to_string(d.directors) + " directors");
-        const bool wants_node = one.kind == "hang" || one.kind == "answers_lost" || one.kind == "errors" ||
-                                one.kind == "slow_link" || one.kind == "neighbour" ||
-                                one.kind == "late_reports" || one.kind == "crash" || one.kind == "start" ||
-                                one.kind == "drain" || one.kind == "drain_wave" ||
-                                one.kind == "freeze_after_paid";
-        if (wants_node && one.nodes.empty())
-            fault(path + "/nodes", "this kind needs nodes: it would hurt nothing");
+            if (n >= d.director_count)
+                add_error(path + "/directors",
+                          "there are " + std::to_string(d.director_count) + " directors");
+        const bool needs_nodes = one.kind == "hang" || one.kind == "answers_lost" || one.kind == "errors" ||
+                                 one.kind == "slow_link" || one.kind == "neighbour" ||
+                                 one.kind == "late_reports" || one.kind == "crash" || one.kind == "start" ||
+                                 one.kind == "drain" || one.kind == "drain_wave" ||
+                                 one.kind == "freeze_after_paid";
+        if (needs_nodes && one.nodes.empty())
+            add_error(path + "/nodes", "this kind needs nodes, without them it has no effect");
         if ((one.kind == "director_crash" || one.kind == "director_stall") && one.directors.empty())
-            fault(path + "/directors", "this kind needs directors: it would hurt nothing");
+            add_error(path + "/directors", "this kind needs directors, without them it has no effect");
         if (one.kind == "slow_link" && !(one.value > 1))
-            fault(path + "/value", "so many times less: above 1");
+            add_error(path + "/value", "the factor by which the link is slower has to be above 1");
         if ((one.kind == "answers_lost" || one.kind == "errors") && !(one.value > 0 && one.value <= 1))
-            fault(path + "/value", "a chance above 0, 1 at most");
+            add_error(path + "/value", "the probability has to be above 0 and at most 1");
         d.faults.push_back(one);
     }
     return out;
 }
 
 ScenarioRunner::ScenarioRunner(io::Loop& loop, Scenario file, std::uint64_t seed, DirectorHost& host,
-                               io::Time ready_after, std::function<void(const Report&)> done)
+                               io::Time ready_after, std::function<void(const Report&)> on_finished)
     : loop_(loop),
-      file_(std::move(file)),
+      scenario_(std::move(file)),
       seed_(seed),
       host_(host),
-      done_(std::move(done)),
+      on_finished_(std::move(on_finished)),
       random_(seed),
       client_(loop, [] {
           http::ClientLimits limits;
           limits.max_connections_per_address = 4096;
           return limits;
       }()) {
-    report_.name = file_.name;
+    report_.name = scenario_.name;
     report_.seed = seed;
-    const auto tap = [this](const SocketEvent& t) { taps_.push_back(t); };
-    list_ = std::make_unique<standins::ServerListEmulator>(loop_, io::Address{}, "media", tap);
-    const json fleet_part = file_.director.at("fleet");
-    const json cold = file_.director.value("rules", json::object()).value("cold", json::object());
+    const auto tap = [this](const SocketEvent& t) { events_.push_back(t); };
+    server_list_ = std::make_unique<standins::ServerListEmulator>(loop_, io::Address{}, "media", tap);
+    const json fleet_part = scenario_.director_config.at("fleet");
+    const json cold = scenario_.director_config.value("rules", json::object()).value("cold", json::object());
     fleet::FleetSpec spec;
-    spec.rack_kb = file_.racks_kb;
+    spec.rack_kb = scenario_.racks_kb;
     spec.full_utilization = fleet_part.value("refuses_from", 0.0);
     spec.join_rate_factor = fleet_part.value("join_part", 1.0);
     spec.warmup_time = cold.value("time_ms", 0.0);
@@ -145,9 +148,9 @@
     spec.overload_window = cold.value("fall_window_ms", 1000.0);
     fleet_ = std::make_unique<fleet::Fleet>(spec);
     std::vector<standins::EmulatedClass> classes;
-    for (const json& c : file_.director.at("classes"))
+    for (const json& c : scenario_.director_config.at("classes"))
         classes.push_back({c.at("name"), c.value("rate_part", 1.0), c.value("live", false)});
-    for (const NodeGroup& g : file_.nodes)
+    for (const NodeGroup& g : scenario_.node_groups)
         for (int k = 0; k < g.count; ++k) {
             fleet::NodeSpec node;
             node.rack = g.rack;
@@ -160,32 +163,34 @@
             s.name = "n" + std::to_string(number);
             s.rung_kb = fleet_part.at("rung_kb").get<std::vector<double>>();
             s.classes = classes;
-            s.min_setup_time = file_.min_setup_time, s.max_setup_time = file_.max_setup_time;
-            s.report_interval = file_.report_interval;
+            s.min_setup_time = scenario_.min_setup_time, s.max_setup_time = scenario_.max_setup_time;
+            s.report_interval = scenario_.report_interval;
             s.note_delay = fleet_part.value("notes_late_ms", 680.0);
-            Box box;
-            box.node = std::make_unique<standins::NodeEmulator>(loop_, *fleet_, number, s, tap);
-            box.up = g.up;
-            box.listed.id = s.name, box.listed.kind = g.kind, box.listed.weight = g.weight;
-            // The rack is the position modulo the racks.
-            box.listed.position = g.rack + number * static_cast<int>(file_.racks_kb.size());
-            boxes_.push_back(std::move(box));
-            Box& b = boxes_.back();
+            ListedNode listed_node;
+            listed_node.node = std::make_unique<standins::NodeEmulator>(loop_, *fleet_, number, s, tap);
+            listed_node.up = g.up;
+            listed_node.listed.id = s.name, listed_node.listed.kind = g.kind,
+            listed_node.listed.weight = g.weight;
+            // Directors derive the rack from the position, modulo the number of racks.
+            listed_node.listed.position = g.rack + number * static_cast<int>(scenario_.racks_kb.size());
+            nodes_.push_back(std::move(listed_node));
+            ListedNode& b = nodes_.back();
             if (!g.up) continue;
             b.node->start(!g.cold);
             b.listed.address = b.node->address();
             if (g.cold) b.listed.started_wall_ms = loop_.wall_ms();
-            list_->set_server(b.listed);
+            server_list_->set_server(b.listed);
         }
-    list_->set_update_delay(file_.list_delay);
-    for (int k = 0; k < file_.directors; ++k) director_at_.push_back(host_.reserve_address(k));
-    for (int k = 0; k < file_.directors; ++k) start_director(k);
-    after(ready_after, [this] { begin(); });
+    server_list_->set_update_delay(scenario_.list_delay);
+    for (int k = 0; k < scenario_.director_count; ++k)
+        director_addresses_.push_back(host_.reserve_address(k));
+    for (int k = 0; k < scenario_.director_count; ++k) start_director(k);
+    schedule(ready_after, [this] { start_scenario(); });
 }
 ScenarioRunner::~ScenarioRunner() = default;
 
-void ScenarioRunner::after(io::Time wait, std::function<void()> task) {
-    const std::uint64_t id = ++last_task_;
+void ScenarioRunner::schedule(io::Time wait, std::function<void()> task) {
+    const std::uint64_t id = ++last_task_id_;
     tasks_[id] = loop_.after(wait, [this, id, task = std::move(task)] {
         const io::Timer self = std::move(tasks_[id]);
         tasks_.erase(id);
@@ -193,92 +198,93 @@
     });
 }
 
-std::string ScenarioRunner::config_of(int number) const {
-    json c = file_.director;
+std::string ScenarioRunner::make_director_config(int number) const {
+    json c = scenario_.director_config;
     c["name"] = director_name(number);
-    c["listen"] = director_at_[static_cast<std::size_t>(number)].text();
-    c["list"] = {{"consul", list_->address().text()}, {"service", "media"}, {"wait_ms", 10000}};
-    c["fleet"]["directors"] = file_.directors;
+    c["listen"] = director_addresses_[static_cast<std::size_t>(number)].text();
+    c["list"] = {{"consul", server_list_->address().text()}, {"service", "media"}, {"wait_ms", 10000}};
+    c["fleet"]["directors"] = scenario_.director_count;
     c["fleet"]["self"] = number;
-    c["fleet"]["racks"] = file_.racks_kb.size();
+    c["fleet"]["racks"] = scenario_.racks_kb.size();
     if (!c.contains("log")) c["log"] = {{"path", ""}};
     return c.dump(2);
 }
 void ScenarioRunner::start_director(int number) {
-    host_.start(number, config_of(number));
-    const auto it = down_since_.find(number);
-    if (it == down_since_.end()) return;
-    // It has to wake, and to hear of the list, before it can be held to anything.
+    host_.start(number, make_director_config(number));
+    const auto it = open_outages_.find(number);
+    if (it == open_outages_.end()) return;
+    // The director needs time to start and to fetch the server list before the rules apply to it.
     outages_[it->second].to = loop_.now() + 1000;
-    down_since_.erase(it);
+    open_outages_.erase(it);
 }
 void ScenarioRunner::kill_director(int number) {
-    if (down_since_.count(number)) return;
+    if (open_outages_.count(number)) return;
     host_.kill(number);
-    down_since_[number] = outages_.size();
+    open_outages_[number] = outages_.size();
     outages_.push_back({director_name(number), loop_.now(), 1e18});
 }
 
-void ScenarioRunner::begin() {
-    began_ = loop_.now();
-    arrivals_.resize(file_.arrivals.size());
-    for (std::size_t k = 0; k < file_.arrivals.size(); ++k) next_arrival(k);
-    for (const FaultSpec& f : file_.faults) after(f.at, [this, f] { fault(f); });
-    look();
+void ScenarioRunner::start_scenario() {
+    started_at_ = loop_.now();
+    arrival_timers_.resize(scenario_.arrivals.size());
+    for (std::size_t k = 0; k < scenario_.arrivals.size(); ++k) schedule_arrival(k);
+    for (const FaultSpec& f : scenario_.faults) schedule(f.start, [this, f] { inject_fault(f); });
+    check_progress();
 }
 
-void ScenarioRunner::next_arrival(std::size_t of) {
-    const Arrivals& a = file_.arrivals[of];
-    double rate = a.per_s / 1000 * burst_;
-    if (const auto it = tenant_burst_.find(a.tenant); it != tenant_burst_.end()) rate *= it->second;
-    // A rate that changes is met by looking again soon.
+void ScenarioRunner::schedule_arrival(std::size_t of) {
+    const ArrivalSpec& a = scenario_.arrivals[of];
+    double rate = a.rate_per_s / 1000 * arrival_factor_;
+    if (const auto it = tenant_factors_.find(a.tenant); it != tenant_factors_.end()) rate *= it->second;
+    // Drawn again after 200 ms at the latest, so that a change of the rate takes effect.
     const io::Time gap = rate > 0 ? std::exponential_distribution<double>(rate)(random_) : 1e9;
-    const bool comes = gap < 200;
-    arrivals_[of] = loop_.after(std::min(gap, 200.0), [this, of, comes] {
-        if (loop_.now() - began_ >= file_.length) return;
-        if (comes) arrive(file_.arrivals[of]);
-        next_arrival(of);
+    const bool arrives = gap < 200;
+    arrival_timers_[of] = loop_.after(std::min(gap, 200.0), [this, of, arrives] {
+        if (loop_.now() - started_at_ >= scenario_.duration) return;
+        if (arrives) start_player(scenario_.arrivals[of]);
+        schedule_arrival(of);
     });
 }
 
 std::pair<std::string, io::Address> ScenarioRunner::pick_director() {
-    // Viewers go on coming to a director that is dead for a while; later the names lead elsewhere.
-    std::vector<int> able;
-    for (int k = 0; k < file_.directors; ++k) {
-        const auto it = down_since_.find(k);
-        if (it == down_since_.end() || loop_.now() - outages_[it->second].from < 1500) able.push_back(k);
+    // Viewers keep coming to a director that is down for 1.5 s; later name resolution leads elsewhere.
+    std::vector<int> candidates;
+    for (int k = 0; k < scenario_.director_count; ++k) {
+        const auto it = open_outages_.find(k);
+        if (it == open_outages_.end() || loop_.now() - outages_[it->second].from < 1500)
+            candidates.push_back(k);
     }
-    if (able.empty()) able.push_back(0);
-    const int k = able[std::uniform_int_distribution<std::size_t>(0, able.size() - 1)(random_)];
-    return {director_name(k), director_at_[static_cast<std::size_t>(k)]};
+    if (candidates.empty()) candidates.push_back(0);
+    const int k = candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)];
+    return {director_name(k), director_addresses_[static_cast<std::size_t>(k)]};
 }
 
-void ScenarioRunner::arrive(const Arrivals& a) {
+void ScenarioRunner::start_player(const ArrivalSpec& a) {
     standins::PlayerSettings v;
-    const std::uint64_t id = ++last_viewer_;
+    const std::uint64_t id = ++last_player_id_;
     v.name = "viewer-" + std::to_string(id);
     v.sid = "sid-" + std::to_string(seed_) + "-" + std::to_string(id);
     v.tenant = a.tenant, v.cls = a.cls;
-    // Some titles are wanted far more than others.
+    // Titles with low numbers are requested far more often than the others.
     const double u = std::uniform_real_distribution<double>(0, 1)(random_);
-    v.title = a.cls + "-" + std::to_string(static_cast<int>(a.titles * u * u * u));
-    const json& f = file_.director.at("fleet");
-    for (const json& c : file_.director.at("classes")) {
+    v.title = a.cls + "-" + std::to_string(static_cast<int>(a.title_count * u * u * u));
+    const json& f = scenario_.director_config.at("fleet");
+    for (const json& c : scenario_.director_config.at("classes")) {
         if (c.at("name") != a.cls) continue;
-        v.paid = c.at("repeat") == "paid";
-        v.patience = c.at("patience_ms"), v.aim = c.at("aim_ms"), v.worth = c.at("worth");
+        v.non_idempotent = c.at("repeat") == "paid";
+        v.patience = c.at("patience_ms"), v.startup_target = c.at("aim_ms"), v.worth = c.at("worth");
         v.rung_kb = f.at("rung_kb").get<std::vector<double>>();
         for (double& kb : v.rung_kb) kb *= c.value("rate_part", 1.0);
         v.rung_worth = f.at("rung_worth").get<std::vector<double>>();
-        v.top = std::min(c.value("top", 1000), static_cast<int>(v.rung_kb.size()) - 1);
+        v.max_rung = std::min(c.value("top", 1000), static_cast<int>(v.rung_kb.size()) - 1);
     }
     const auto chance = [this](double p) { return std::bernoulli_distribution(p)(random_); };
-    if (v.top > 1 && chance(0.25)) v.top -= 1;
-    v.length = std::uniform_real_distribution<double>(a.min_duration, a.max_duration)(random_);
-    v.return_probability = file_.come_again, v.min_return_delay = file_.min_return_delay,
-    v.max_return_delay = file_.max_return_delay;
+    if (v.max_rung > 1 && chance(0.25)) v.max_rung -= 1;
+    v.watch_duration = std::uniform_real_distribution<double>(a.min_duration, a.max_duration)(random_);
+    v.return_probability = scenario_.return_probability, v.min_return_delay = scenario_.min_return_delay,
+    v.max_return_delay = scenario_.max_return_delay;
     v.shortfall_penalty = f.value("short_points", 6.0);
-    v.hints = chance(0.5) ? standins::HintStyle::query : standins::HintStyle::headers;
+    v.hint_style = chance(0.5) ? standins::HintStyle::query : standins::HintStyle::headers;
     static const std::pair<const char*, standins::HintStyle> styles[] = {
         {"missing", standins::HintStyle::missing},
         {"malformed", standins::HintStyle::malformed},
@@ -286,51 +292,52 @@
         {"over_long", standins::HintStyle::over_long}};
     double u2 = std::uniform_real_distribution<double>(0, 1)(random_);
     for (const auto& [name, style] : styles) {
-        const auto it = file_.hints.find(name);
-        const double p = it == file_.hints.end() ? 0 : it->second;
-        if (u2 >= 0 && u2 < p) v.hints = style;
+        const auto it = scenario_.hint_probabilities.find(name);
+        const double p = it == scenario_.hint_probabilities.end() ? 0 : it->second;
+        if (u2 >= 0 && u2 < p) v.hint_style = style;
         u2 -= p;
     }
-    v.sends_duplicate = chance(file_.ask_twice);
-    if (chance(file_.leave_early)) v.leave_after = std::uniform_real_distribution<double>(0, 300)(random_);
-    viewers_[id] = std::make_unique<standins::PlayerEmulator>(
+    v.sends_duplicate = chance(scenario_.duplicate_probability);
+    if (chance(scenario_.leave_probability))
+        v.leave_after = std::uniform_real_distribution<double>(0, 300)(random_);
+    players_[id] = std::make_unique<standins::PlayerEmulator>(
         loop_, client_, v, [this] { return pick_director(); },
-        [this](const SocketEvent& t) { taps_.push_back(t); },
+        [this](const SocketEvent& t) { events_.push_back(t); },
         [this, id](const standins::PlayerResult& r) {
             for (SessionTotals* row :
                  {&report_.all, &report_.by_class[r.cls], &report_.by_tenant[r.tenant]}) {
                 row->viewers += 1, row->started += r.started, row->in_time += r.in_time;
-                row->refused += r.refused, row->failed += r.failed, row->broke += r.broke;
+                row->rejected += r.rejected, row->failed += r.failed, row->errors += r.errors;
                 row->abandoned += r.abandoned, row->tries += r.tries;
-                row->offered += r.offered, row->earned += r.earned;
+                row->offered_worth += r.offered_worth, row->earned_worth += r.earned_worth;
             }
-            const std::shared_ptr<standins::PlayerEmulator> keep(std::move(viewers_.at(id)));
-            viewers_.erase(id);
+            const std::shared_ptr<standins::PlayerEmulator> keep(std::move(players_.at(id)));
+            players_.erase(id);
             loop_.post([keep] {});
         });
 }
 
-// ---- Faults ----
+// ---- Injected faults ----
 
-void ScenarioRunner::fault(const FaultSpec& f) {
+void ScenarioRunner::inject_fault(const FaultSpec& f) {
     report_.fault_counts[f.kind] += 1;
     const auto each = [&](auto&& begin, auto&& end) {
         for (const int n : f.nodes) {
             begin(n);
-            after(f.length, [n, end] { end(n); });
+            schedule(f.duration, [n, end] { end(n); });
         }
     };
     const auto node = [this](int n) -> standins::NodeEmulator& {
-        return *boxes_[static_cast<std::size_t>(n)].node;
+        return *nodes_[static_cast<std::size_t>(n)].node;
     };
     const auto relist = [this](int n, const char* state) {
-        Box& b = boxes_[static_cast<std::size_t>(n)];
+        ListedNode& b = nodes_[static_cast<std::size_t>(n)];
         b.listed.state = state;
         b.listed.address = b.node->address();
-        list_->set_server(b.listed);
+        server_list_->set_server(b.listed);
     };
     const auto start = [this, relist](int n) {
-        Box& b = boxes_[static_cast<std::size_t>(n)];
+        ListedNode& b = nodes_[static_cast<std::size_t>(n)];
         if (b.up) return;
         b.up = true;
         b.node->start(false);
@@ -338,7 +345,7 @@
         relist(n, "ready");
     };
     const auto crash = [this](int n) {
-        Box& b = boxes_[static_cast<std::size_t>(n)];
+        ListedNode& b = nodes_[static_cast<std::size_t>(n)];
         b.up = false;
         b.node->crash();
     };
@@ -361,72 +368,72 @@
              [this](int n) { fleet_->set_link_background(n, 0); });
     } else if (f.kind == "uplink_neighbour") {
         fleet_->set_uplink_background(f.rack, f.value);
-        after(f.length, [this, f] { fleet_->set_uplink_background(f.rack, 0); });
+        schedule(f.duration, [this, f] { fleet_->set_uplink_background(f.rack, 0); });
     } else if (f.kind == "late_reports") {
         each([&](int n) { node(n).set_report_delay(f.value); },
              [node](int n) { node(n).set_report_delay(0); });
     } else if (f.kind == "stale_list") {
-        list_->set_stale(true);
-        after(f.length, [this] { list_->set_stale(false); });
+        server_list_->set_stale(true);
+        schedule(f.duration, [this] { server_list_->set_stale(false); });
     } else if (f.kind == "silent_list") {
-        list_->set_hung(true);
-        after(f.length, [this] { list_->set_hung(false); });
-    } else if (f.kind == "crash") {  // silent, and back cold
+        server_list_->set_hung(true);
+        schedule(f.duration, [this] { server_list_->set_hung(false); });
+    } else if (f.kind == "crash") {  // without notice; the node restarts cold
         each([&](int n) { crash(n); }, [start](int n) { start(n); });
     } else if (f.kind == "start") {
         for (const int n : f.nodes) start(n);
     } else if (f.kind == "drain" || f.kind == "drain_wave") {
         io::Time wait = 0;
         for (const int n : f.nodes) {
-            after(wait, [relist, n] { relist(n, "draining"); });
-            if (f.length > 0) after(wait + f.length, [relist, n] { relist(n, "ready"); });
+            schedule(wait, [relist, n] { relist(n, "draining"); });
+            if (f.duration > 0) schedule(wait + f.duration, [relist, n] { relist(n, "ready"); });
             if (f.kind == "drain_wave") wait += f.value;
         }
     } else if (f.kind == "director_crash") {
         for (const int d : f.directors) {
             kill_director(d);
-            after(f.length, [this, d] { start_director(d); });
+            schedule(f.duration, [this, d] { start_director(d); });
         }
     } else if (f.kind == "director_roll") {
         io::Time wait = 0;
-        for (int d = 0; d < file_.directors; ++d, wait += f.length * 2) {
-            after(wait, [this, d] { kill_director(d); });
-            after(wait + f.length, [this, d] { start_director(d); });
+        for (int d = 0; d < scenario_.director_count; ++d, wait += f.duration * 2) {
+            schedule(wait, [this, d] { kill_director(d); });
+            schedule(wait + f.duration, [this, d] { start_director(d); });
         }
     } else if (f.kind == "director_stall") {
         for (const int d : f.directors) {
             host_.set_stalled(d, true);
-            outages_.push_back({director_name(d), loop_.now(), loop_.now() + f.length + 200, false});
-            after(f.length, [this, d] { host_.set_stalled(d, false); });
+            outages_.push_back({director_name(d), loop_.now(), loop_.now() + f.duration + 200, false});
+            schedule(f.duration, [this, d] { host_.set_stalled(d, false); });
         }
     } else if (f.kind == "burst") {
-        burst_ = f.value;
-        after(f.length, [this] { burst_ = 1; });
+        arrival_factor_ = f.value;
+        schedule(f.duration, [this] { arrival_factor_ = 1; });
     } else if (f.kind == "tenant_burst") {
-        tenant_burst_[f.tenant] = f.value;
-        after(f.length, [this, f] { tenant_burst_.erase(f.tenant); });
+        tenant_factors_[f.tenant] = f.value;
+        schedule(f.duration, [this, f] { tenant_factors_.erase(f.tenant); });
     }
 }
 
-// ---- The end ----
+// ---- End of the scenario and report ----
 
-void ScenarioRunner::look() {
-    for (int k = 0; k < file_.directors; ++k)
-        if (!down_since_.count(k) && !host_.is_running(k)) {
+void ScenarioRunner::check_progress() {
+    for (int k = 0; k < scenario_.director_count; ++k)
+        if (!open_outages_.count(k) && !host_.is_running(k)) {
             report_.exited_directors.push_back(director_name(k));
-            down_since_[k] = outages_.size();
+            open_outages_[k] = outages_.size();
             outages_.push_back({director_name(k), loop_.now(), 1e18});
         }
-    const io::Time passed = loop_.now() - began_;
-    const bool all_came = passed >= file_.length + 300;
-    if (all_came && (viewers_.empty() || passed > file_.length + 120000)) return finish();
-    look_ = loop_.after(100, [this] { look(); });
+    const io::Time passed = loop_.now() - started_at_;
+    const bool all_arrived = passed >= scenario_.duration + 300;
+    if (all_arrived && (players_.empty() || passed > scenario_.duration + 120000)) return finish();
+    check_timer_ = loop_.after(100, [this] { check_progress(); });
 }
 void ScenarioRunner::finish() {
-    if (over_) return;
-    over_ = true;
+    if (finished_) return;
+    finished_ = true;
     audit::RuleLimits terms;
-    const json& c = file_.director;
+    const json& c = scenario_.director_config;
     for (const json& one : c.at("classes"))
         terms.classes[one.at("name")] = {one.at("repeat") == "paid", one.value("floor", 0),
                                          one.value("seats", 0), one.at("patience_ms")};
@@ -440,17 +447,17 @@
         terms.retries_per_request = rules["budget"].at("per_request");
         terms.retry_window = rules["budget"].at("window_ms");
     }
-    report_.verdict = audit::check_rules(taps_, terms, outages_);
-    for (const SocketEvent& t : taps_) {
+    report_.audit_result = audit::check_rules(events_, terms, outages_);
+    for (const SocketEvent& t : events_) {
         report_.setups += t.type == "setup";
         report_.further_attempts += t.type == "setup" && t.attempt > 0;
         report_.completed_setups += t.type == "ran";
         report_.duplicate_requests += t.type == "ask_again";
     }
-    done_(report_);
+    on_finished_(report_);
 }
 
-std::string Report::table() const {
+std::string Report::format_table() const {
     std::string out = "day " + name + ", seed " + std::to_string(seed) + "\n\n";
     char line[200];
     std::snprintf(line, sizeof line, "%-22s %8s %8s %8s %8s %8s %8s %8s %8s\n", "", "viewers", "played",
@@ -458,8 +465,8 @@
     out += line;
     const auto row = [&](const std::string& label, const SessionTotals& r) {
         std::snprintf(line, sizeof line, "%-22s %8d %8d %8d %8d %8d %8d %8d %7.1f%%\n", label.c_str(),
-                      r.viewers, r.started, r.in_time, r.refused, r.failed, r.abandoned, r.broke,
-                      r.offered > 0 ? 100 * r.earned / r.offered : 0);
+                      r.viewers, r.started, r.in_time, r.rejected, r.failed, r.abandoned, r.errors,
+                      r.offered_worth > 0 ? 100 * r.earned_worth / r.offered_worth : 0);
         out += line;
     };
     for (const auto& [label, r] : by_class) row(label, r);
@@ -471,29 +478,29 @@
     for (const auto& [kind, n] : fault_counts) out += " " + kind + (n > 1 ? " x" + std::to_string(n) : "");
     out += "\n\n";
     for (int rule = 1; rule <= 6; ++rule) {
-        const auto it = verdict.check_counts.find(rule);
+        const auto it = audit_result.check_counts.find(rule);
         std::snprintf(line, sizeof line, "rule %d  %-26s %-8s (put to the test %d times)\n", rule,
-                      audit::rule_name(rule), verdict.is_kept(rule) ? "kept" : "BROKEN",
-                      it == verdict.check_counts.end() ? 0 : it->second);
+                      audit::rule_name(rule), audit_result.is_kept(rule) ? "kept" : "BROKEN",
+                      it == audit_result.check_counts.end() ? 0 : it->second);
         out += line;
     }
     std::size_t shown = 0;
-    for (const audit::Violation& b : verdict.violations) {
+    for (const audit::Violation& b : audit_result.violations) {
         if (++shown > 10) break;
         out += "  rule " + std::to_string(b.rule) + " at " + std::to_string(std::llround(b.at)) +
                " ms: " + b.description + "\n";
     }
-    if (verdict.violations.size() > 10)
-        out += "  and " + std::to_string(verdict.violations.size() - 10) + " more\n";
+    if (audit_result.violations.size() > 10)
+        out += "  and " + std::to_string(audit_result.violations.size() - 10) + " more\n";
     for (const std::string& d : exited_directors) out += "director " + d + " ended by itself\n";
     return out;
 }
-nlohmann::json Report::json() const {
+nlohmann::json Report::to_json() const {
     const auto row = [](const SessionTotals& r) {
-        return nlohmann::json{{"viewers", r.viewers}, {"played", r.started}, {"in_time", r.in_time},
-                              {"refused", r.refused}, {"failed", r.failed},  {"abandoned", r.abandoned},
-                              {"broke", r.broke},     {"tries", r.tries},    {"offered", r.offered},
-                              {"earned", r.earned}};
+        return nlohmann::json{{"viewers", r.viewers},    {"played", r.started}, {"in_time", r.in_time},
+                              {"refused", r.rejected},   {"failed", r.failed},  {"abandoned", r.abandoned},
+                              {"broke", r.errors},       {"tries", r.tries},    {"offered", r.offered_worth},
+                              {"earned", r.earned_worth}};
     };
     nlohmann::json out = {{"name", name},
                           {"seed", seed},
@@ -507,13 +514,14 @@
     for (const auto& [label, r] : by_class) out["classes"][label] = row(r);
     for (const auto& [label, r] : by_tenant) out["tenants"][label] = row(r);
     for (int rule = 1; rule <= 6; ++rule) {
-        const auto it = verdict.check_counts.find(rule);
-        out["rules"][std::to_string(rule)] = {{"name", audit::rule_name(rule)},
-                                              {"kept", verdict.is_kept(rule)},
-                                              {"checked", it == verdict.check_counts.end() ? 0 : it->second}};
+        const auto it = audit_result.check_counts.find(rule);
+        out["rules"][std::to_string(rule)] = {
+            {"name", audit::rule_name(rule)},
+            {"kept", audit_result.is_kept(rule)},
+            {"checked", it == audit_result.check_counts.end() ? 0 : it->second}};
     }
     out["breaches"] = nlohmann::json::array();
-    for (const audit::Violation& b : verdict.violations)
+    for (const audit::Violation& b : audit_result.violations)
         out["breaches"].push_back({{"rule", b.rule}, {"at_ms", b.at}, {"what", b.description}});
     return out;
 }
--- a/src/day/day.hpp
+++ b/src/day/day.hpp
@@ -1,5 +1,6 @@
-// A day played from a file through real directors: list, nodes and players are stand-ins on one loop, the
-// directors run wherever a DirectorHost puts them (processes on sockets, or a virtual world's loops).
+// Plays a scenario from a file against real directors. The server list, nodes and players are emulators on
+// one loop; the directors run wherever a DirectorHost puts them (processes on sockets, or loops of a
+// simulated world). Times are milliseconds.
 #pragma once
 
 #include <map>
@@ -18,65 +19,75 @@
 
 namespace ivyfield::day {
 
+// One injected fault of a scenario; which of the fields count depends on its kind.
 struct FaultSpec {
     std::string kind, tenant;
-    io::Time at = 0, length = 0;
+    io::Time start = 0, duration = 0;
     std::vector<int> nodes, directors;
     int rack = 0;
     double value = 0;
 };
+// Nodes with the same properties.
 struct NodeGroup {
     int count = 1, rack = 0;
     std::string kind;
     double weight = 1;
     bool cold = false, up = true;
 };
-struct Arrivals {
+// Players of one class and tenant that arrive at a mean rate.
+struct ArrivalSpec {
     std::string cls, tenant;
-    double per_s = 0;
+    double rate_per_s = 0;
     io::Time min_duration = 0, max_duration = 0;
-    int titles = 20;
+    int title_count = 20;
 };
+// The contents of a scenario file; see config/day.schema.json.
 struct Scenario {
     std::string name;
     std::uint64_t seed = 1;
-    io::Time length = 0;
-    int directors = 1;
-    nlohmann::json director;  // parts of a director's configuration
-    std::vector<NodeGroup> nodes;
+    io::Time duration = 0;
+    int director_count = 1;
+    nlohmann::json director_config;  // the parts of a director's configuration that all directors share
+    std::vector<NodeGroup> node_groups;
     std::vector<double> racks_kb;
     io::Time min_setup_time = 30, max_setup_time = 120, list_delay = 0, report_interval = 500;
-    std::vector<Arrivals> arrivals;
-    double come_again = 0.85, min_return_delay = 1600, max_return_delay = 2900;
-    std::map<std::string, double> hints;
-    double ask_twice = 0, leave_early = 0;
+    std::vector<ArrivalSpec> arrivals;
+    double return_probability = 0.85, min_return_delay = 1600, max_return_delay = 2900;
+    std::map<std::string, double> hint_probabilities;
+    double duplicate_probability = 0, leave_probability = 0;
     std::vector<FaultSpec> faults;
 };
+// The JSON schema of scenario files.
 const char* scenario_schema_text();
+// The scenario is complete only if there are no errors.
 struct LoadedScenario {
-    Scenario day;
-    std::vector<config::ConfigError> faults;
+    Scenario scenario;
+    std::vector<config::ConfigError> errors;
 };
+// Parses and checks a scenario file; problems are returned in `errors`, not thrown.
 LoadedScenario load_scenario(const std::string& text);
 
+// Runs the directors of a scenario, which are identified by their number.
 class DirectorHost {
   public:
     virtual ~DirectorHost() = default;
-    // An address at which a director may listen, its own for the whole day.
+    // Returns an address at which the director may listen during the whole scenario.
     virtual io::Address reserve_address(int number) = 0;
     virtual void start(int number, const std::string& config) = 0;
     virtual void kill(int number) = 0;
     virtual void set_stalled(int number, bool on) = 0;
     virtual bool is_running(int number) = 0;
-    // What sockets, scheduling and the taps' own place may add to a time
+    // Delay that sockets, scheduling and the place of recording may add to a time
     // (audit::RuleLimits::network_tolerance).
     virtual io::Time timing_tolerance() const = 0;
 };
 
+// Totals over the players of a class, of a tenant or of all.
 struct SessionTotals {
-    int viewers = 0, started = 0, in_time = 0, refused = 0, failed = 0, broke = 0, abandoned = 0, tries = 0;
-    double offered = 0, earned = 0;
+    int viewers = 0, started = 0, in_time = 0, rejected = 0, failed = 0, errors = 0, abandoned = 0, tries = 0;
+    double offered_worth = 0, earned_worth = 0;
 };
+// The result of a scenario.
 struct Report {
     std::string name;
     std::uint64_t seed = 0;
@@ -84,65 +95,66 @@
     SessionTotals all;
     int setups = 0, further_attempts = 0, completed_setups = 0, duplicate_requests = 0;
     std::map<std::string, int> fault_counts;
-    std::vector<std::string> exited_directors;  // directors that ended by themselves
-    audit::AuditResult verdict;
-    bool has_passed() const { return verdict.violations.empty() && exited_directors.empty(); }
-    std::string table() const;
-    nlohmann::json json() const;
+    std::vector<std::string> exited_directors;  // directors that exited without being told to
+    audit::AuditResult audit_result;
+    bool has_passed() const { return audit_result.violations.empty() && exited_directors.empty(); }
+    std::string format_table() const;
+    nlohmann::json to_json() const;
 };
 
+// Plays one scenario on `loop` and calls `on_finished` once with the report.
 class ScenarioRunner {
   public:
-    // `ready_after`: what the directors need to start and hear of the list before the first viewer comes.
+    // `ready_after`: how long the directors get to start and fetch the server list before the first viewer.
     ScenarioRunner(io::Loop& loop, Scenario file, std::uint64_t seed, DirectorHost& host,
-                   io::Time ready_after, std::function<void(const Report&)> done);
+                   io::Time ready_after, std::function<void(const Report&)> on_finished);
     ~ScenarioRunner();
-    const std::vector<standins::SocketEvent>& taps() const { return taps_; }
+    const std::vector<standins::SocketEvent>& events() const { return events_; }
 
   private:
-    struct Box {
+    struct ListedNode {
         std::unique_ptr<standins::NodeEmulator> node;
         standins::ListedServer listed;
         bool up = false;
     };
-    void begin();
-    void next_arrival(std::size_t of);
-    void arrive(const Arrivals& a);
+    void start_scenario();
+    void schedule_arrival(std::size_t of);
+    void start_player(const ArrivalSpec& a);
     std::pair<std::string, io::Address> pick_director();
-    void fault(const FaultSpec& f);
-    void after(io::Time wait, std::function<void()> task);
+    void inject_fault(const FaultSpec& f);
+    void schedule(io::Time wait, std::function<void()> task);
     void start_director(int number);
     void kill_director(int number);
-    std::string config_of(int number) const;
+    std::string make_director_config(int number) const;
     std::string director_name(int number) const { return "d" + std::to_string(number); }
-    void look();
+    void check_progress();
     void finish();
 
     io::Loop& loop_;
-    Scenario file_;
+    Scenario scenario_;
     std::uint64_t seed_;
     DirectorHost& host_;
-    std::function<void(const Report&)> done_;
+    std::function<void(const Report&)> on_finished_;
     std::mt19937_64 random_;
-    std::vector<standins::SocketEvent> taps_;
+    std::vector<standins::SocketEvent> events_;
     std::vector<audit::Outage> outages_;
-    std::map<int, std::size_t> down_since_;  // director, its outage
+    std::map<int, std::size_t> open_outages_;  // by director: index of its unfinished outage
     std::unique_ptr<fleet::Fleet> fleet_;
-    std::unique_ptr<standins::ServerListEmulator> list_;
-    std::vector<Box> boxes_;
-    std::vector<io::Address> director_at_;
+    std::unique_ptr<standins::ServerListEmulator> server_list_;
+    std::vector<ListedNode> nodes_;
+    std::vector<io::Address> director_addresses_;
     http::Client client_;
-    std::map<std::uint64_t, std::unique_ptr<standins::PlayerEmulator>> viewers_;
-    std::uint64_t last_viewer_ = 0;
+    std::map<std::uint64_t, std::unique_ptr<standins::PlayerEmulator>> players_;
+    std::uint64_t last_player_id_ = 0;
     std::map<std::uint64_t, io::Timer> tasks_;
-    std::uint64_t last_task_ = 0;
-    io::Timer look_;
-    std::vector<io::Timer> arrivals_;
-    double burst_ = 1;
-    std::map<std::string, double> tenant_burst_;
-    io::Time began_ = 0;
+    std::uint64_t last_task_id_ = 0;
+    io::Timer check_timer_;
+    std::vector<io::Timer> arrival_timers_;
+    double arrival_factor_ = 1;
+    std::map<std::string, double> tenant_factors_;
+    io::Time started_at_ = 0;
     Report report_;
-    bool over_ = false;
+    bool finished_ = false;
 };
 
 }  // namespace ivyfield::day
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -225,7 +225,7 @@
         t.title = body.at("title").get<std::string>();
         t.tenant = body.value("tenant", "");
         t.rung = body.at("rung").get<int>();
-        t.paid = body.at("paid").get<bool>();
+        t.non_idempotent = body.at("paid").get<bool>();
         if (t.rung < 0 || t.rung >= static_cast<int>(settings_.rung_kb.size()))
             throw std::invalid_argument("rung is not on the ladder");
     } catch (const std::exception& why) {
@@ -286,7 +286,7 @@
                                                                settings_.max_setup_time)(loop_.random());
     setting->timer = loop_.after(work, [this, key, t] { set_up_done(key, t, t.rung); });
     setting_.emplace(key, std::move(setting));
-    if (t.paid && freeze_paid_) {
+    if (t.non_idempotent && freeze_paid_) {
         freeze_paid_ = false;
         loop_.post([this] { set_hung(true); });
     }
@@ -307,7 +307,7 @@
     auto session = std::make_unique<Session>();
     session->token = hex(loop_.random()());
     session->sid = from.sid, session->cls = from.cls, session->title = from.title;
-    session->tenant = from.tenant, session->paid = from.paid;
+    session->tenant = from.tenant, session->non_idempotent = from.non_idempotent;
     session->rung = rung;
     Teller& teller = tellers_[from.director];
     const std::uint64_t begun = session->begun = ++teller.seq;
@@ -479,7 +479,7 @@
                       {"class", s.cls},
                       {"title", s.title},
                       {"rung", s.rung},
-                      {"paid", s.paid},
+                      {"paid", s.non_idempotent},
                       {"media", media_url(s.token)}};
             if (!renditions_.empty()) line["renditions"] = renditions();
             out += line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
--- a/src/standins/node.hpp
+++ b/src/standins/node.hpp
@@ -68,7 +68,7 @@
         std::string token, sid, tenant, cls, title;
         std::uint64_t stream = 0, begun = 0;
         int rung = 0;
-        bool paid = false;
+        bool non_idempotent = false;
         io::Timer idle;
     };
     struct Setting {  // a set-up under way
--- a/src/standins/player.cpp
+++ b/src/standins/player.cpp
@@ -16,10 +16,11 @@
       tap_(std::move(tap)),
       done_(std::move(done)),
       began_(loop.now()),
-      ends_(loop.now() + s_.length) {
+      ends_(loop.now() + s_.watch_duration) {
     result_.tenant = s_.tenant;
     result_.cls = s_.cls;
-    result_.offered = s_.worth * s_.rung_worth.at(static_cast<std::size_t>(s_.top)) * s_.length / 1000;
+    result_.offered_worth =
+        s_.worth * s_.rung_worth.at(static_cast<std::size_t>(s_.max_rung)) * s_.watch_duration / 1000;
     ask();
 }
 PlayerEmulator::~PlayerEmulator() = default;
@@ -30,7 +31,8 @@
     t.at = loop_.now();
     t.source = s_.name;
     t.director = asked_director_;
-    t.sid = s_.sid, t.cls = s_.cls, t.title = s_.title, t.tenant = s_.tenant, t.paid = s_.paid;
+    t.sid = s_.sid, t.cls = s_.cls, t.title = s_.title, t.tenant = s_.tenant,
+    t.non_idempotent = s_.non_idempotent;
     t.attempt = result_.tries;
     return t;
 }
@@ -42,14 +44,14 @@
     keys.values["ot"] = hints::Token{"m"};
     keys.values["su"] = true;
     keys.values["tb"] =
-        static_cast<std::int64_t>(std::llround(s_.rung_kb.at(static_cast<std::size_t>(s_.top)) * 8));
+        static_cast<std::int64_t>(std::llround(s_.rung_kb.at(static_cast<std::size_t>(s_.max_rung)) * 8));
     http::Request r;
     r.target = "/v1/watch/" + http::percent_encode(s_.tenant) + "/" + http::percent_encode(s_.cls) + "/" +
                http::percent_encode(s_.title) + "/master.m3u8";
     const auto query = [&r](const std::string& payload) {
         r.target += "?CMCD=" + http::percent_encode(payload);
     };
-    switch (s_.hints) {
+    switch (s_.hint_style) {
         case HintStyle::query:
             query(hints::encode_keys(hints::Vocabulary::cmcd, keys));
             break;
@@ -85,8 +87,8 @@
     asked_at_ = loop_.now();
     SocketEvent t = tap_of("ask");
     // Only these carry a sid that the director can know the viewer by.
-    t.details = s_.hints == HintStyle::missing || s_.hints == HintStyle::contradictory ||
-                        s_.hints == HintStyle::over_long
+    t.details = s_.hint_style == HintStyle::missing || s_.hint_style == HintStyle::contradictory ||
+                        s_.hint_style == HintStyle::over_long
                     ? "unknown"
                     : "";
     tap_(t);
@@ -157,13 +159,13 @@
     }
     io::Time least = 0;
     if (t.outcome == "refused") {
-        result_.refused += 1;
+        result_.rejected += 1;
         least = std::atof(std::string(r.response.headers.get("Retry-After").value_or("0")).c_str()) * 1000;
     } else if (t.outcome == "failed") {
         result_.failed += 1;
-        if (s_.paid) return finish();  // it may have run: this viewer stays away
+        if (s_.non_idempotent) return finish();  // it may have run: this viewer stays away
     } else {
-        result_.broke += 1;
+        result_.errors += 1;
     }
     again(least);
 }
@@ -187,9 +189,9 @@
     rung_ = std::atoi(uri.substr(rung_at + 1, rung_end - rung_at - 1).c_str());
     const io::Time waited = loop_.now() - began_;
     if (!result_.started) {
-        result_.waited = waited;
+        result_.startup_time = waited;
         // Waiting counts from each try on its own; a viewer who had to come again is late.
-        result_.in_time = waited <= s_.aim;
+        result_.in_time = waited <= s_.startup_target;
     }
     result_.started = true;
     misses_ = 0;
@@ -222,7 +224,7 @@
         const bool moved =
             r.outcome == http::CallOutcome::response && r.response.headers.get("X-Ivyfield-Moved") == "1";
         if (moved) result_.moves += 1;
-        else result_.broke += 1;
+        else result_.errors += 1;
         if (r.outcome == http::CallOutcome::timed_out && ++misses_ < 3) return fetch();
         if (moved) {
             pause_ = loop_.after(300, [this] { ask(); });
@@ -232,10 +234,10 @@
     }
     misses_ = 0;
     const io::Time took = std::max(r.elapsed, 1.0);
-    const double share = std::min(1.0, s_.segment / std::max(s_.segment, took));
+    const double share = std::min(1.0, s_.segment_duration / std::max(s_.segment_duration, took));
     const double lost = share < 0.98 ? (0.98 - share) * s_.shortfall_penalty : 0;
-    const double played = std::min(s_.segment, ends_ - segment_began_) / 1000;
-    result_.earned +=
+    const double played = std::min(s_.segment_duration, ends_ - segment_began_) / 1000;
+    result_.earned_worth +=
         s_.worth * s_.rung_worth.at(static_cast<std::size_t>(rung_)) * played * std::max(0.0, 1 - lost);
     // The node's word on the rate; a change is the director's.
     const auto dynamic = hints::decode_cmsd_dynamic(r.response.headers.get_all("CMSD-Dynamic"));
@@ -244,12 +246,12 @@
             int best = 0;
             for (std::size_t k = 0; k < s_.rung_kb.size(); ++k)
                 if (std::llround(s_.rung_kb[k] * 8) <= *mb) best = static_cast<int>(k);
-            best = std::min(best, s_.top);
+            best = std::min(best, s_.max_rung);
             if (best != rung_) result_.rung_changes += 1;
             rung_ = best;
         }
     if (share < 0.75 && std::bernoulli_distribution(0.1)(loop_.random())) return finish();
-    pause_ = loop_.after(std::max(0.0, s_.segment - took), [this] { fetch(); });
+    pause_ = loop_.after(std::max(0.0, s_.segment_duration - took), [this] { fetch(); });
 }
 
 // The viewer closes its second request itself: no answer is owed to it any more.
--- a/src/standins/player.hpp
+++ b/src/standins/player.hpp
@@ -15,18 +15,18 @@
 
 struct PlayerSettings {
     std::string name, sid, tenant, cls, title;
-    bool paid = false;
-    io::Time patience = 5000, aim = 1500, length = 30000;
+    bool non_idempotent = false;
+    io::Time patience = 5000, startup_target = 1500, watch_duration = 30000;
     std::vector<double> rung_kb, rung_worth;  // the class's ladder
     double worth = 1;                         // of a second at worth 1
-    int top = 0;
-    HintStyle hints = HintStyle::query;
+    int max_rung = 0;
+    HintStyle hint_style = HintStyle::query;
     bool sends_duplicate = false;      // the same request again while the first is out
     io::Time leave_after = -1;         // closes its connection unanswered so soon; below 0: never
     double return_probability = 0.85;  // after a break, a refusal, a failure of a harmless class
     io::Time min_return_delay = 1600, max_return_delay = 2900;
     int max_tries = 4;
-    io::Time segment = 1000;
+    io::Time segment_duration = 1000;
     double shortfall_penalty = 6;  // worth lost for each point of rate missing under 98 in 100
 };
 
@@ -34,9 +34,9 @@
     std::string tenant, cls;
     bool started = false,
          in_time = false;  // in_time: playing within the aim, by the first try or a later one
-    int tries = 0, refused = 0, failed = 0, abandoned = 0, broke = 0, rung_changes = 0, moves = 0;
-    io::Time waited = -1;  // to the first playlist, from the first ask
-    double offered = 0, earned = 0;
+    int tries = 0, rejected = 0, failed = 0, abandoned = 0, errors = 0, rung_changes = 0, moves = 0;
+    io::Time startup_time = -1;  // to the first playlist, from the first ask
+    double offered_worth = 0, earned_worth = 0;
 };
 
 class PlayerEmulator {
--- a/src/standins/tap.hpp
+++ b/src/standins/tap.hpp
@@ -21,7 +21,7 @@
     std::string sid, cls, title, tenant, outcome;
     std::uint64_t session = 0;
     int attempt = 0, rung = 0, status = 0;
-    bool paid = false;
+    bool non_idempotent = false;
     std::string details;  // list_sent: the states told, like "n1=ready n2=draining"
 };
 using EventSink = std::function<void(const SocketEvent&)>;
--- a/tests/day/day_test.cpp
+++ b/tests/day/day_test.cpp
@@ -12,26 +12,26 @@
 }
 day::Scenario loaded(const nlohmann::json& doc) {
     const auto d = day::load_scenario(doc.dump());
-    for (const auto& f : d.faults) ADD_FAILURE() << f.path << ": " << f.message;
-    return d.day;
+    for (const auto& f : d.errors) ADD_FAILURE() << f.path << ": " << f.message;
+    return d.scenario;
 }
-void expect_good(const day::Report& r) { EXPECT_TRUE(r.has_passed()) << r.table(); }
+void expect_good(const day::Report& r) { EXPECT_TRUE(r.has_passed()) << r.format_table(); }
 
 TEST(Day, AQuietDayPlaysNearlyAllInTime) {
     const auto r = cli::play_virtual_day(loaded(file("quiet")), 1, {});
     expect_good(r);
     EXPECT_GT(r.all.viewers, 20);
-    EXPECT_GE(r.all.started, r.all.viewers * 9 / 10) << r.table();
-    EXPECT_GE(r.all.in_time, r.all.started * 9 / 10) << r.table();
+    EXPECT_GE(r.all.started, r.all.viewers * 9 / 10) << r.format_table();
+    EXPECT_GE(r.all.in_time, r.all.started * 9 / 10) << r.format_table();
     EXPECT_EQ(r.all.abandoned, 0);
 }
 TEST(Day, TheBadDayKeepsAllRulesUnderSeveralSeeds) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         const auto r = cli::play_virtual_day(loaded(file("bad-day")), seed, {});
         expect_good(r);
-        for (int rule : {1, 2, 3, 4, 5}) EXPECT_GT(r.verdict.check_counts.count(rule), 0u) << rule;
+        for (int rule : {1, 2, 3, 4, 5}) EXPECT_GT(r.audit_result.check_counts.count(rule), 0u) << rule;
         EXPECT_GT(r.all.viewers, 100);
-        EXPECT_GT(r.all.started, r.all.viewers / 3) << r.table();
+        EXPECT_GT(r.all.started, r.all.viewers / 3) << r.format_table();
         EXPECT_GT(r.duplicate_requests, 2);
         EXPECT_GT(r.further_attempts, 0);
     }
@@ -41,7 +41,7 @@
         for (std::uint64_t seed = 1; seed <= 2; ++seed) {
             const auto r = cli::play_virtual_day(loaded(file(name)), seed, {});
             expect_good(r);
-            EXPECT_GT(r.verdict.check_counts.at(rule), 5) << r.table();
+            EXPECT_GT(r.audit_result.check_counts.at(rule), 5) << r.format_table();
         }
 }
 // Nodes that came back between two looks of the list took set-ups unpaced: only their own hello tells in
@@ -61,9 +61,9 @@
 }
 TEST(Day, TheSameSeedIsTheSameDay) {
     const auto day = loaded(file("bad-day"));
-    const std::string once = cli::play_virtual_day(day, 3, {}).json().dump();
-    EXPECT_EQ(once, cli::play_virtual_day(day, 3, {}).json().dump());
-    EXPECT_NE(once, cli::play_virtual_day(day, 4, {}).json().dump());
+    const std::string once = cli::play_virtual_day(day, 3, {}).to_json().dump();
+    EXPECT_EQ(once, cli::play_virtual_day(day, 3, {}).to_json().dump());
+    EXPECT_NE(once, cli::play_virtual_day(day, 4, {}).to_json().dump());
 }
 TEST(Day, FaultsThatWouldHurtNothingAreFaultsOfTheFile) {
     auto doc = file("quiet");
@@ -74,11 +74,11 @@
     doc["arrivals"][0]["class"] = "nothing";
     doc["director"]["classes"][0]["floor"] = 9;
     std::vector<std::string> paths;
-    for (const auto& f : day::load_scenario(doc.dump()).faults) paths.push_back(f.path);
+    for (const auto& f : day::load_scenario(doc.dump()).errors) paths.push_back(f.path);
     EXPECT_EQ(paths, std::vector<std::string>{"/director/classes/0/floor"});
     doc["director"]["classes"][0].erase("floor");
     paths.clear();
-    for (const auto& f : day::load_scenario(doc.dump()).faults) paths.push_back(f.path);
+    for (const auto& f : day::load_scenario(doc.dump()).errors) paths.push_back(f.path);
     EXPECT_EQ(paths, (std::vector<std::string>{"/arrivals/0/class", "/faults/0/nodes", "/faults/1/value",
                                                "/faults/2/nodes", "/faults/3/directors"}));
 }
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -202,19 +202,19 @@
     }
     if (slip == Slip::over_seats || slip == Slip::none) doc["arrivals"][0]["per_s"] = 4;
     const auto loaded = day::load_scenario(doc.dump());
-    for (const auto& f : loaded.faults) ADD_FAILURE() << f.path << ": " << f.message;
+    for (const auto& f : loaded.errors) ADD_FAILURE() << f.path << ": " << f.message;
     io::World world(5);
     RogueHost host(world, slip);
     day::Report report;
     bool over = false;
-    day::ScenarioRunner day(world.start("rig"), loaded.day, 5, host, 1500,
+    day::ScenarioRunner day(world.start("rig"), loaded.scenario, 5, host, 1500,
                             [&](const day::Report& r) { report = r, over = true; });
     while (!over && world.step()) {
     }
     EXPECT_TRUE(over);
     std::vector<int> out;
     for (int rule = 1; rule <= 6; ++rule)
-        if (!report.verdict.is_kept(rule)) out.push_back(rule);
+        if (!report.audit_result.is_kept(rule)) out.push_back(rule);
     return out;
 }
 using Rules = std::vector<int>;
