--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -255,7 +255,7 @@
     node_command->add_option("--rungs-kb", node_settings.rung_kb, "rates of the ladder's rungs, kB a second")
         ->delimiter(',');
     node_command->add_option(
-        "--media", node_settings.media,
+        "--media", node_settings.media_folder,
         "serve the media in this folder: for each rung RUNG/index.m3u8 and its segments, and\n"
         "master.m3u8 if it gives codecs and sizes");
     node_command
--- a/src/standins/list.cpp
+++ b/src/standins/list.cpp
@@ -11,65 +11,65 @@
                                        EventSink tap)
     : loop_(loop),
       service_(std::move(service)),
-      tap_(std::move(tap)),
-      server_(loop, listen, {}, [this](const http::ExchangePtr& e) { serve(e); }) {}
+      event_sink_(std::move(tap)),
+      server_(loop, listen, {}, [this](const http::ExchangePtr& e) { handle_request(e); }) {}
 
-void ServerListEmulator::later(std::function<void()> change) {
-    if (late_ <= 0) return change();
-    const std::uint64_t id = ++next_;
-    changes_[id] = loop_.after(late_, [this, id, change] {
-        const io::Timer self = std::move(changes_[id]);
-        changes_.erase(id);
+void ServerListEmulator::schedule_change(std::function<void()> change) {
+    if (update_delay_ <= 0) return change();
+    const std::uint64_t id = ++last_id_;
+    pending_changes_[id] = loop_.after(update_delay_, [this, id, change] {
+        const io::Timer self = std::move(pending_changes_[id]);
+        pending_changes_.erase(id);
         change();
     });
 }
 void ServerListEmulator::set_server(const ListedServer& one) {
-    later([this, one] {
-        all_[one.id] = one;
-        changed();
+    schedule_change([this, one] {
+        servers_[one.id] = one;
+        notify_change();
     });
 }
 void ServerListEmulator::remove_server(const std::string& id) {
-    later([this, id] {
-        all_.erase(id);
-        changed();
+    schedule_change([this, id] {
+        servers_.erase(id);
+        notify_change();
     });
 }
 void ServerListEmulator::set_stale(bool on) {
-    if (on && !stale_) stale_copy_ = all_;
+    if (on && !stale_) stale_servers_ = servers_;
     stale_ = on;
-    if (!on) changed();
+    if (!on) notify_change();
 }
-void ServerListEmulator::changed() {
+void ServerListEmulator::notify_change() {
     index_ += 1;
     if (stale_) return;
-    auto waiting = std::move(waiting_);
-    waiting_.clear();
-    for (auto& [id, one] : waiting) answer(one.exchange);
+    auto waiting = std::move(pending_queries_);
+    pending_queries_.clear();
+    for (auto& [id, one] : waiting) send_answer(one.exchange);
 }
 
-void ServerListEmulator::serve(const http::ExchangePtr& e) {
+void ServerListEmulator::handle_request(const http::ExchangePtr& e) {
     const http::Request& request = e->request();
     if (request.path() != "/v1/health/service/" + service_)
         return e->respond(http::text_response(404, "no such service"));
     const std::string index = http::query_argument(request.query(), "index").value_or("0");
     std::string wait = http::query_argument(request.query(), "wait").value_or("300s");
-    if (index != std::to_string(index_) && !(stale_ && index != "0")) return answer(e);
+    if (index != std::to_string(index_) && !(stale_ && index != "0")) return send_answer(e);
     double ms = 300000;
     if (wait.size() > 2 && wait.substr(wait.size() - 2) == "ms") ms = std::atof(wait.c_str());
     else if (!wait.empty() && wait.back() == 's') ms = std::atof(wait.c_str()) * 1000;
-    const std::uint64_t id = ++next_;
-    Waiting& w = waiting_[id];
+    const std::uint64_t id = ++last_id_;
+    PendingQuery& w = pending_queries_[id];
     w.exchange = e;
-    w.until = loop_.after(std::min(std::max(ms, 0.0), 600000.0), [this, id] {
-        const http::ExchangePtr exchange = waiting_.at(id).exchange;
-        waiting_.erase(id);
-        answer(exchange);
+    w.timeout_timer = loop_.after(std::min(std::max(ms, 0.0), 600000.0), [this, id] {
+        const http::ExchangePtr exchange = pending_queries_.at(id).exchange;
+        pending_queries_.erase(id);
+        send_answer(exchange);
     });
-    e->on_disconnect([this, id] { loop_.post([this, id] { waiting_.erase(id); }); });
+    e->on_disconnect([this, id] { loop_.post([this, id] { pending_queries_.erase(id); }); });
 }
 
-void ServerListEmulator::answer(const http::ExchangePtr& e) {
+void ServerListEmulator::send_answer(const http::ExchangePtr& e) {
     if (e->is_disconnected()) return;
     e->on_disconnect(nullptr);
     json body = json::array();
@@ -80,7 +80,7 @@
     t.director = std::string(e->request().headers.get("User-Agent").value_or(""));
     if (const std::size_t slash = t.director.find('/'); slash != std::string::npos)
         t.director.erase(0, slash + 1);
-    for (const auto& [id, one] : stale_ ? stale_copy_ : all_) {
+    for (const auto& [id, one] : stale_ ? stale_servers_ : servers_) {
         json meta = {{"position", std::to_string(one.position)},
                      {"weight", json(one.weight).dump()},
                      {"kind", one.kind},
@@ -105,7 +105,7 @@
     r.headers.add("X-Consul-KnownLeader", "true");
     r.headers.add("X-Consul-LastContact", "0");
     r.body = body.dump();
-    if (tap_) tap_(t);
+    if (event_sink_) event_sink_(t);
     e->respond(r);
 }
 
--- a/src/standins/list.hpp
+++ b/src/standins/list.hpp
@@ -1,4 +1,4 @@
-// The list of servers as a stand-in: Consul's GET /v1/health/service/NAME with blocking queries.
+// Emulator of the server list: Consul's GET /v1/health/service/NAME with blocking queries.
 #pragma once
 
 #include <map>
@@ -11,6 +11,7 @@
 
 namespace ivyfield::standins {
 
+// One entry of the list.
 struct ListedServer {
     std::string id, kind, state = "ready";  // "ready", "draining", "gone" (its check is critical)
     io::Address address;
@@ -18,37 +19,38 @@
     double weight = 1, started_wall_ms = 0;  // 0: long ago
 };
 
+// Answers queries of directors and records each answer.
 class ServerListEmulator {
   public:
     ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service, EventSink tap);
     io::Address address() const { return server_.address(); }
-    // Takes effect for askers `late` from now.
+    // Adds or replaces an entry; as with remove_server(), answers change after the update delay.
     void set_server(const ListedServer& one);
     void remove_server(const std::string& id);
-    void set_update_delay(io::Time by) { late_ = by; }
+    void set_update_delay(io::Time delay) { update_delay_ = delay; }
     void set_hung(bool on) { on ? server_.pause() : server_.resume(); }
-    // Answers go on with what was known when this began, as an agent cut off from its servers gives them.
+    // While on, answers repeat the entries known when it began, like a Consul agent cut off from its servers.
     void set_stale(bool on);
 
   private:
-    struct Waiting {
+    struct PendingQuery {
         http::ExchangePtr exchange;
-        io::Timer until;
+        io::Timer timeout_timer;
     };
-    void serve(const http::ExchangePtr& e);
-    void answer(const http::ExchangePtr& e);
-    void changed();
-    void later(std::function<void()> change);
+    void handle_request(const http::ExchangePtr& e);
+    void send_answer(const http::ExchangePtr& e);
+    void notify_change();
+    void schedule_change(std::function<void()> change);
 
     io::Loop& loop_;
     std::string service_;
-    EventSink tap_;
-    std::map<std::string, ListedServer> all_, stale_copy_;
-    std::uint64_t index_ = 1, next_ = 0;
-    io::Time late_ = 0;
+    EventSink event_sink_;
+    std::map<std::string, ListedServer> servers_, stale_servers_;
+    std::uint64_t index_ = 1, last_id_ = 0;
+    io::Time update_delay_ = 0;
     bool stale_ = false;
-    std::map<std::uint64_t, Waiting> waiting_;
-    std::map<std::uint64_t, io::Timer> changes_;
+    std::map<std::uint64_t, PendingQuery> pending_queries_;
+    std::map<std::uint64_t, io::Timer> pending_changes_;
     http::Server server_;
 };
 
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::vector<std::string> parts_of(std::string_view path) {
+std::vector<std::string> split_path(std::string_view path) {
     std::vector<std::string> out;
     while (!path.empty()) {
         path.remove_prefix(1);
@@ -24,12 +24,12 @@
     }
     return out;
 }
-std::optional<std::uint64_t> number_of(const std::string& text) {
+std::optional<std::uint64_t> parse_number(const std::string& text) {
     if (text.empty() || text.size() > 16 || text.find_first_not_of("0123456789") != std::string::npos)
         return std::nullopt;
     return std::stoull(text);
 }
-std::optional<std::string> file_text(const std::string& path) {
+std::optional<std::string> read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     if (!in) return std::nullopt;
     std::ostringstream all;
@@ -39,9 +39,9 @@
 bool ends_with(const std::string& text, std::string_view end) {
     return text.size() >= end.size() && text.compare(text.size() - end.size(), end.size(), end) == 0;
 }
-// What pages may send and read, as the director's front has it.
-constexpr const char* kAllowed = "CMCD-Request, CMCD-Object, CMCD-Status, CMCD-Session, Range";
-constexpr const char* kExposed = "CMSD-Dynamic, CMSD-Static, X-Ivyfield-Moved";
+// Headers that web pages may send and read; the same as at the director's HTTP front.
+constexpr const char* kAllowedRequestHeaders = "CMCD-Request, CMCD-Object, CMCD-Status, CMCD-Session, Range";
+constexpr const char* kExposedResponseHeaders = "CMSD-Dynamic, CMSD-Static, X-Ivyfield-Moved";
 http::Response json_response(int status, const json& body) {
     http::Response r;
     r.status = status;
@@ -64,16 +64,16 @@
       fleet_(fleet),
       number_(number),
       settings_(std::move(settings)),
-      tap_(std::move(tap)),
+      event_sink_(std::move(tap)),
       address_(settings_.listen) {
-    if (!settings_.media.empty()) read_folder();
+    if (!settings_.media_folder.empty()) load_media_folder();
 }
-// Connections first, while all that hears of their end is still here.
+// Closes the connections first, while the state that their disconnect handlers use still exists.
 NodeEmulator::~NodeEmulator() { server_.reset(); }
 
-void NodeEmulator::read_folder() {
+void NodeEmulator::load_media_folder() {
     const auto read = [](const std::string& path, auto&& parse) {
-        const auto text = file_text(path);
+        const auto text = read_file(path);
         if (!text) throw std::runtime_error(path + ": can't be read");
         try {
             return parse(*text);
@@ -82,34 +82,34 @@
         }
     };
     for (std::size_t rung = 0; rung < settings_.rung_kb.size(); ++rung) {
-        const std::string path = settings_.media + "/" + std::to_string(rung) + "/index.m3u8";
-        titles_.push_back(read(path, hls::parse_media_playlist));
-        for (const hls::Segment& s : titles_.back().segments)
+        const std::string path = settings_.media_folder + "/" + std::to_string(rung) + "/index.m3u8";
+        playlists_.push_back(read(path, hls::parse_media_playlist));
+        for (const hls::Segment& s : playlists_.back().segments)
             if (s.uri.find('/') != std::string::npos)
                 throw std::runtime_error(path + ": segment \"" + s.uri + "\" does not lie beside it");
     }
-    const std::string master = settings_.media + "/master.m3u8";
+    const std::string master = settings_.media_folder + "/master.m3u8";
     renditions_.resize(settings_.rung_kb.size());
-    if (!file_text(master)) return;
+    if (!read_file(master)) return;
     for (const hls::Variant& v : read(master, hls::parse_master_playlist))
         for (std::size_t rung = 0; rung < renditions_.size(); ++rung)
             if (v.uri == std::to_string(rung) + "/index.m3u8") renditions_[rung] = v;
 }
-json NodeEmulator::renditions() const {
+json NodeEmulator::renditions_json() const {
     json out = json::array();
     for (const hls::Variant& r : renditions_)
         out.push_back({{"codecs", r.codecs}, {"resolution", r.resolution}});
     return out;
 }
-bool NodeEmulator::live(const std::string& cls) const {
+bool NodeEmulator::is_live(const std::string& cls) const {
     return std::any_of(settings_.classes.begin(), settings_.classes.end(),
                        [&](const EmulatedClass& c) { return c.name == cls && c.live; });
 }
 
-void NodeEmulator::tap(SocketEvent t) {
+void NodeEmulator::record_event(SocketEvent t) {
     t.at = loop_.now();
     t.source = settings_.name;
-    if (tap_) tap_(t);
+    if (event_sink_) event_sink_(t);
 }
 
 void NodeEmulator::start(bool warm) {
@@ -118,38 +118,38 @@
     http::ServerLimits limits;
     limits.write_timeout = 5000;
     server_ = std::make_unique<http::Server>(loop_, address_, limits,
-                                             [this](const http::ExchangePtr& e) { serve(e); });
+                                             [this](const http::ExchangePtr& e) { handle_request(e); });
     address_ = server_->address();
     hung_ = false;
-    reports_.clear();
-    refresh();
-    tick();
+    load_reports_.clear();
+    refresh_load_report();
+    send_notes();
     SocketEvent t;
     t.type = "node_start";
     t.outcome = warm ? "warm" : "cold";
-    tap(t);
+    record_event(t);
 }
 void NodeEmulator::crash() {
     if (hung_) {
         SocketEvent t;
         t.type = "thaw";
-        tap(t);
+        record_event(t);
     }
     hung_ = false;
     SocketEvent down;
     down.type = "node_down";
-    tap(down);
-    server_.reset();  // first: what is dropped unanswered behind it has no connection to be answered on
-    setting_.clear();
+    record_event(down);
+    server_.reset();  // first, so that requests dropped below have no connection left to be answered on
+    pending_setups_.clear();
     sessions_.clear();
-    tokens_.clear();
-    tellers_.clear();
-    let_go_.clear();
-    let_go_order_.clear();
-    later_.clear();
-    stopped_.clear();
-    moved_.clear();
-    tick_.stop(), refresh_.stop();
+    keys_by_token_.clear();
+    directors_.clear();
+    released_attempts_.clear();
+    release_expiry_queue_.clear();
+    scheduled_tasks_.clear();
+    deferred_work_.clear();
+    moved_tokens_.clear();
+    note_timer_.stop(), report_timer_.stop();
     if (fleet_.is_up(number_)) fleet_.stop_node(number_);
 }
 void NodeEmulator::set_hung(bool on) {
@@ -157,50 +157,53 @@
     hung_ = on;
     SocketEvent t;
     t.type = on ? "hang" : "thaw";
-    tap(t);
+    record_event(t);
     if (on) return server_->pause();
     server_->resume();
-    const auto work = std::move(stopped_);
-    stopped_.clear();
+    const auto work = std::move(deferred_work_);
+    deferred_work_.clear();
     for (const auto& one : work) one();
 }
 
-double NodeEmulator::kb(const std::string& cls, int rung) const {
+double NodeEmulator::rate_kb(const std::string& cls, int rung) const {
     for (const EmulatedClass& c : settings_.classes)
-        if (c.name == cls) return settings_.rung_kb.at(static_cast<std::size_t>(rung)) * c.rate_part;
+        if (c.name == cls) return settings_.rung_kb.at(static_cast<std::size_t>(rung)) * c.rate_factor;
     return settings_.rung_kb.at(static_cast<std::size_t>(rung));
 }
 
-void NodeEmulator::serve(const http::ExchangePtr& e) {
-    const auto parts = parts_of(e->request().path());
+void NodeEmulator::handle_request(const http::ExchangePtr& e) {
+    const auto parts = split_path(e->request().path());
     const std::string& method = e->request().method;
-    if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "sessions" && method == "POST") return set_up(e);
+    if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "sessions" && method == "POST")
+        return handle_setup(e);
     if (parts.size() == 4 && parts[0] == "v1" && parts[1] == "sessions" && parts[3] == "release" &&
         method == "POST")
-        return release(e, parts[2]);
-    if (parts.size() >= 5 && parts[0] == "v1" && parts[1] == "sessions") return command(e, parts);
+        return handle_release(e, parts[2]);
+    if (parts.size() >= 5 && parts[0] == "v1" && parts[1] == "sessions") return handle_command(e, parts);
     if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "load" && method == "GET") {
-        const io::Time seen = loop_.now() - late_;
-        std::string text = reports_.front().second;
-        for (const auto& [made, report] : reports_)
+        const io::Time seen = loop_.now() - report_delay_;
+        std::string text = load_reports_.front().second;
+        for (const auto& [made, report] : load_reports_)
             if (made <= seen) text = report;
         http::Response r;
         r.headers.add("Content-Type", "application/json");
         r.body = text;
         return e->respond(r);
     }
-    if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "events" && method == "GET") return events(e);
+    if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "events" && method == "GET")
+        return serve_events(e);
     if (parts.size() == 4 && parts[0] == "media")
-        return http::is_preflight(e->request()) ? e->respond(http::preflight_response(kAllowed, 7200))
-                                                : media(e, parts);
+        return http::is_preflight(e->request())
+                   ? e->respond(http::preflight_response(kAllowedRequestHeaders, 7200))
+                   : serve_media(e, parts);
     e->respond(http::text_response(404, "nothing here"));
 }
 
-void NodeEmulator::after(io::Time wait, std::function<void()> task) {
-    const std::uint64_t id = ++last_later_;
-    later_[id] = loop_.after(wait, [this, id, task = std::move(task)] {
-        const io::Timer self = std::move(later_.at(id));
-        later_.erase(id);
+void NodeEmulator::schedule(io::Time wait, std::function<void()> task) {
+    const std::uint64_t id = ++last_task_id_;
+    scheduled_tasks_[id] = loop_.after(wait, [this, id, task = std::move(task)] {
+        const io::Timer self = std::move(scheduled_tasks_.at(id));
+        scheduled_tasks_.erase(id);
         task();
     });
 }
@@ -210,7 +213,7 @@
 
 // ---- Set-ups ----
 
-void NodeEmulator::set_up(const http::ExchangePtr& e) {
+void NodeEmulator::handle_setup(const http::ExchangePtr& e) {
     const json body = json::parse(e->request().body, nullptr, false);
     SocketEvent t;
     t.type = "setup";
@@ -231,24 +234,24 @@
     } catch (const std::exception& why) {
         return e->respond(http::text_response(400, why.what()));
     }
-    const Key key{t.director, t.session, t.attempt};
-    tap(t);
+    const AttemptKey key{t.director, t.session, t.attempt};
+    record_event(t);
     const auto over = [this, t](int status, const char* how) {
         SocketEvent o = t;
         o.type = "setup_over";
         o.status = status;
         o.outcome = how;
-        tap(o);
+        record_event(o);
     };
-    // Called off before it came: nobody waits for it.
-    if (let_go_.count(key) || sessions_.count(key) || setting_.count(key)) {
+    // Released before it arrived: no director waits for it.
+    if (released_attempts_.count(key) || sessions_.count(key) || pending_setups_.count(key)) {
         http::Response r = json_response(503, {{"why", "called off, or here already"}});
-        if (let_go_.count(key)) r.headers.add("X-Ivyfield-Unseen", "1");
-        over(503, let_go_.count(key) ? "full" : "repeated");
+        if (released_attempts_.count(key)) r.headers.add("X-Ivyfield-Unseen", "1");
+        over(503, released_attempts_.count(key) ? "full" : "repeated");
         return e->respond(r);
     }
     const auto chance = [this](double p) { return p > 0 && std::bernoulli_distribution(p)(loop_.random()); };
-    if (chance(fail_)) {
+    if (chance(error_probability_)) {
         over(500, "error");
         return e->respond(http::text_response(500, "this node is broken"));
     }
@@ -256,7 +259,7 @@
         case fleet::SetupResult::overloaded: {
             SocketEvent fell = t;
             fell.type = "node_fell";
-            tap(fell);
+            record_event(fell);
             over(0, "broke");
             loop_.post([this] { crash(); });
             return e->abort_connection();
@@ -270,55 +273,55 @@
         case fleet::SetupResult::accepted:
             break;
     }
-    auto setting = std::make_unique<Setting>();
+    auto setting = std::make_unique<PendingSetup>();
     setting->exchange = e;
     e->on_disconnect([this, key, over] {
-        // The director has called it off, or died: what was not done yet is not done.
-        const auto it = setting_.find(key);
+        // The director cancelled the set-up or went down: it does not run any more unless it already has.
+        const auto it = pending_setups_.find(key);
         over(0, "gone");
-        if (it == setting_.end()) return;
+        if (it == pending_setups_.end()) return;
         it->second->exchange.reset();
         if (hung_) return;
-        setting_.erase(it);
+        pending_setups_.erase(it);
         fleet_.cancel_setup(number_);
     });
     const double work = std::uniform_real_distribution<double>(settings_.min_setup_time,
                                                                settings_.max_setup_time)(loop_.random());
-    setting->timer = loop_.after(work, [this, key, t] { set_up_done(key, t, t.rung); });
-    setting_.emplace(key, std::move(setting));
-    if (t.non_idempotent && freeze_paid_) {
-        freeze_paid_ = false;
+    setting->work_timer = loop_.after(work, [this, key, t] { complete_setup(key, t, t.rung); });
+    pending_setups_.emplace(key, std::move(setting));
+    if (t.non_idempotent && hang_after_paid_setup_) {
+        hang_after_paid_setup_ = false;
         loop_.post([this] { set_hung(true); });
     }
 }
 
-void NodeEmulator::set_up_done(const Key& key, const SocketEvent& from, int rung) {
+void NodeEmulator::complete_setup(const AttemptKey& key, const SocketEvent& from, int rung) {
     if (hung_) {
-        stopped_.push_back([this, key, from, rung] { set_up_done(key, from, rung); });
+        deferred_work_.push_back([this, key, from, rung] { complete_setup(key, from, rung); });
         return;
     }
-    const auto it = setting_.find(key);
-    if (it == setting_.end()) return;
-    const std::unique_ptr<Setting> setting = std::move(it->second);
-    setting_.erase(it);
+    const auto it = pending_setups_.find(key);
+    if (it == pending_setups_.end()) return;
+    const std::unique_ptr<PendingSetup> setting = std::move(it->second);
+    pending_setups_.erase(it);
     SocketEvent ran = from;
     ran.type = "ran";
-    tap(ran);
+    record_event(ran);
     auto session = std::make_unique<Session>();
     session->token = hex(loop_.random()());
     session->sid = from.sid, session->cls = from.cls, session->title = from.title;
     session->tenant = from.tenant, session->non_idempotent = from.non_idempotent;
     session->rung = rung;
-    Teller& teller = tellers_[from.director];
-    const std::uint64_t begun = session->begun = ++teller.seq;
-    if (!teller.stream) stream_gone(from.director);
+    DirectorState& state = directors_[from.director];
+    const std::uint64_t start_seq = session->start_seq = ++state.last_seq;
+    if (!state.event_stream) start_lease(from.director);
     fleet::StreamSpec stream;
-    stream.rate_kb = kb(from.cls, rung);
+    stream.rate_kb = rate_kb(from.cls, rung);
     stream.rung = rung;
-    if (live(from.cls)) stream.sharing_key = from.cls + "/" + from.title;
-    session->stream = fleet_.start_stream(number_, stream);
-    session->idle = loop_.after(settings_.idle, [this, key] { end(key, "ended"); });
-    tokens_[session->token] = key;
+    if (is_live(from.cls)) stream.sharing_key = from.cls + "/" + from.title;
+    session->stream_id = fleet_.start_stream(number_, stream);
+    session->idle_timer = loop_.after(settings_.idle_timeout, [this, key] { end_session(key, "ended"); });
+    keys_by_token_[session->token] = key;
     const std::string token = session->token;
     sessions_.emplace(key, std::move(session));
     const http::ExchangePtr e = setting->exchange;
@@ -326,36 +329,37 @@
     e->on_disconnect(nullptr);
     SocketEvent over = from;
     over.type = "setup_over";
-    if (lose_ > 0 && std::bernoulli_distribution(lose_)(loop_.random())) {
-        // Held open unanswered: the director's own time must end it.
+    if (answer_loss_probability_ > 0 &&
+        std::bernoulli_distribution(answer_loss_probability_)(loop_.random())) {
+        // The request stays open unanswered until the director's own timeout ends it.
         over.outcome = "lost";
         auto held = std::make_shared<http::ExchangePtr>(e);
         e->on_disconnect([this, over, held] {
-            tap(over);
+            record_event(over);
             held->reset();
         });
         return;
     }
     over.status = 200;
     over.outcome = "started";
-    tap(over);
-    json answer = {{"media", media_url(token)}, {"boot", boot_}, {"seq", begun}};
-    if (!renditions_.empty()) answer["renditions"] = renditions();
+    record_event(over);
+    json answer = {{"media", media_url(token)}, {"boot", boot_}, {"seq", start_seq}};
+    if (!renditions_.empty()) answer["renditions"] = renditions_json();
     e->respond(json_response(200, answer));
 }
 
 // ---- Commands to playing sessions ----
 
-void NodeEmulator::command(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
-    const auto session = number_of(parts[3]), attempt = number_of(parts[4]);
+void NodeEmulator::handle_command(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
+    const auto session = parse_number(parts[3]), attempt = parse_number(parts[4]);
     if (!session || !attempt) return e->respond(http::text_response(400, "not a session and attempt"));
-    const Key key{parts[2], *session, static_cast<int>(*attempt)};
+    const AttemptKey key{parts[2], *session, static_cast<int>(*attempt)};
     const std::string& method = e->request().method;
     const auto it = sessions_.find(key);
     SocketEvent t;
     t.director = parts[2], t.session = *session, t.attempt = static_cast<int>(*attempt);
     if (method == "DELETE" && parts.size() == 5) {
-        let_go(key);
+        release_attempt(key);
         return e->respond({204, {}, ""});
     }
     if (it == sessions_.end()) return e->respond(http::text_response(404, "no such session"));
@@ -368,92 +372,94 @@
         if (rung < 0 || rung >= static_cast<int>(settings_.rung_kb.size()))
             return e->respond(http::text_response(400, "rung is not on the ladder"));
         s.rung = rung;
-        fleet_.set_rung(number_, s.stream, rung, kb(s.cls, rung));
+        fleet_.set_rung(number_, s.stream_id, rung, rate_kb(s.cls, rung));
         t.type = "rung", t.rung = rung, t.cls = s.cls, t.sid = s.sid;
-        tap(t);
+        record_event(t);
         return e->respond({204, {}, ""});
     }
     if (method == "POST" && parts.size() == 6 && parts[5] == "move") {
-        moved_.insert(s.token);
-        end(key, "cancelled");
+        moved_tokens_.insert(s.token);
+        end_session(key, "cancelled");
         return e->respond({204, {}, ""});
     }
     e->respond(http::text_response(405, "not this"));
 }
 
-void NodeEmulator::release(const http::ExchangePtr& e, const std::string& director) {
+void NodeEmulator::handle_release(const http::ExchangePtr& e, const std::string& director) {
     const json body = json::parse(e->request().body, nullptr, false);
-    std::vector<Key> keys;
+    std::vector<AttemptKey> keys;
     try {
         for (const json& one : body.at("sessions"))
             keys.emplace_back(director, one.at(0).get<std::uint64_t>(), one.at(1).get<int>());
     } catch (const std::exception& why) {
         return e->respond(http::text_response(400, why.what()));
     }
-    for (const Key& key : keys) let_go(key);
+    for (const AttemptKey& key : keys) release_attempt(key);
     e->respond(json_response(200, json::object()));
 }
-// Nothing of the attempt is left here, and nothing will be: a set-up that comes after this is turned away.
-void NodeEmulator::let_go(const Key& key) {
+// Ends whatever the attempt has at this node. A set-up that arrives after this is rejected.
+void NodeEmulator::release_attempt(const AttemptKey& key) {
     SocketEvent t;
     t.type = "cancel";
     t.director = std::get<0>(key), t.session = std::get<1>(key), t.attempt = std::get<2>(key);
-    tap(t);
+    record_event(t);
     const io::Time now = loop_.now();
-    while (!let_go_order_.empty() && (let_go_order_.front().first <= now || let_go_order_.size() >= 100000)) {
-        let_go_.erase(let_go_order_.front().second);
-        let_go_order_.pop_front();
+    while (!release_expiry_queue_.empty() &&
+           (release_expiry_queue_.front().first <= now || release_expiry_queue_.size() >= 100000)) {
+        released_attempts_.erase(release_expiry_queue_.front().second);
+        release_expiry_queue_.pop_front();
     }
-    if (let_go_.insert(key).second) let_go_order_.emplace_back(now + settings_.remember, key);
-    if (const auto s = setting_.find(key); s != setting_.end()) {
-        setting_.erase(s);
+    if (released_attempts_.insert(key).second)
+        release_expiry_queue_.emplace_back(now + settings_.release_retention, key);
+    if (const auto s = pending_setups_.find(key); s != pending_setups_.end()) {
+        pending_setups_.erase(s);
         fleet_.cancel_setup(number_);
     }
-    end(key, "cancelled");
+    end_session(key, "cancelled");
 }
 
-void NodeEmulator::end(const Key& key, const char* how) {
+void NodeEmulator::end_session(const AttemptKey& key, const char* how) {
     if (hung_) {
-        stopped_.push_back([this, key, how] { end(key, how); });
+        deferred_work_.push_back([this, key, how] { end_session(key, how); });
         return;
     }
     const auto it = sessions_.find(key);
     if (it == sessions_.end()) return;
     const std::unique_ptr<Session> s = std::move(it->second);
     sessions_.erase(it);
-    tokens_.erase(s->token);
-    fleet_.end_stream(number_, s->stream);
+    keys_by_token_.erase(s->token);
+    fleet_.end_stream(number_, s->stream_id);
     const auto& [director, session, attempt] = key;
     SocketEvent t;
     t.type = "end", t.director = director, t.session = session, t.attempt = attempt;
     t.sid = s->sid, t.cls = s->cls, t.title = s->title, t.outcome = how;
-    tap(t);
-    Teller& teller = tellers_[director];
-    const std::string line = json{{"event", "end"},     {"boot", boot_},      {"seq", ++teller.seq},
+    record_event(t);
+    DirectorState& state = directors_[director];
+    const std::string line = json{{"event", "end"},     {"boot", boot_},      {"seq", ++state.last_seq},
                                   {"session", session}, {"attempt", attempt}, {"how", how}}
                                  .dump();
-    teller.ends.emplace_back(teller.seq, line);
-    if (teller.ends.size() > settings_.log) {
-        teller.forgotten = teller.ends.front().first;
-        teller.ends.pop_front();
+    state.end_log.emplace_back(state.last_seq, line);
+    if (state.end_log.size() > settings_.max_logged_ends) {
+        state.last_dropped_seq = state.end_log.front().first;
+        state.end_log.pop_front();
     }
-    tell(director, line);
+    send_event(director, line);
 }
 
 // ---- Events ----
 
-void NodeEmulator::events(const http::ExchangePtr& e) {
+void NodeEmulator::serve_events(const http::ExchangePtr& e) {
     const std::string_view query = e->request().query();
     const auto director = http::query_argument(query, "director");
     if (!director || director->empty()) return e->respond(http::text_response(400, "no director"));
     if (http::query_argument(query, "protocol").value_or("1") != "2")
         return e->respond(http::text_response(400, "this node speaks protocol 2 (docs/node-protocol.md)"));
-    if (tellers_.size() >= 2000 && !tellers_.count(*director))
+    if (directors_.size() >= 2000 && !directors_.count(*director))
         return e->respond(http::text_response(503, "too many directors"));
-    Teller& teller = tellers_[*director];
-    const auto since = number_of(http::query_argument(query, "since").value_or(""));
+    DirectorState& state = directors_[*director];
+    const auto since = parse_number(http::query_argument(query, "since").value_or(""));
     const bool resumes = since && http::query_argument(query, "boot").value_or("") == boot_ &&
-                         *since >= teller.forgotten && *since <= teller.seq;
+                         *since >= state.last_dropped_seq && *since <= state.last_seq;
     http::Headers headers;
     headers.add("Content-Type", "application/x-ndjson");
     e->start(200, headers);
@@ -463,7 +469,7 @@
                           .dump() +
                       "\n";
     if (resumes) {
-        for (const auto& [seq, line] : teller.ends)
+        for (const auto& [seq, line] : state.end_log)
             if (seq > *since) out += line + "\n";
     } else {
         for (auto it = sessions_.lower_bound({*director, 0, 0});
@@ -473,7 +479,7 @@
                       {"boot", boot_},
                       {"session", std::get<1>(it->first)},
                       {"attempt", std::get<2>(it->first)},
-                      {"seq", s.begun},
+                      {"seq", s.start_seq},
                       {"sid", s.sid},
                       {"tenant", s.tenant},
                       {"class", s.cls},
@@ -481,47 +487,47 @@
                       {"rung", s.rung},
                       {"paid", s.non_idempotent},
                       {"media", media_url(s.token)}};
-            if (!renditions_.empty()) line["renditions"] = renditions();
+            if (!renditions_.empty()) line["renditions"] = renditions_json();
             out += line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
         }
     }
-    out += json{{"event", "account"}, {"boot", boot_}, {"seq", teller.seq}}.dump() + "\n";
+    out += json{{"event", "account"}, {"boot", boot_}, {"seq", state.last_seq}}.dump() + "\n";
     e->write(out);
-    teller.lease.stop();
-    teller.stream = e;  // one a director: an older one is dropped and so closed
+    state.lease_timer.stop();
+    state.event_stream = e;  // one per director: an older stream is dropped, which closes it
     e->on_disconnect([this, director = *director, raw = e.get()] {
-        const auto it = tellers_.find(director);
-        if (it == tellers_.end() || it->second.stream.get() != raw) return;
-        const http::ExchangePtr keep = std::move(it->second.stream);
-        it->second.stream = nullptr;
-        stream_gone(director);
+        const auto it = directors_.find(director);
+        if (it == directors_.end() || it->second.event_stream.get() != raw) return;
+        const http::ExchangePtr keep = std::move(it->second.event_stream);
+        it->second.event_stream = nullptr;
+        start_lease(director);
     });
 }
-// A director that does not come back in its time claims nothing any more.
-void NodeEmulator::stream_gone(const std::string& director) {
-    tellers_[director].lease = loop_.after(settings_.lease, [this, director] {
-        std::vector<Key> keys;
+// Ends the director's sessions unless it opens an event stream within the lease time.
+void NodeEmulator::start_lease(const std::string& director) {
+    directors_[director].lease_timer = loop_.after(settings_.lease_time, [this, director] {
+        std::vector<AttemptKey> keys;
         for (auto it = sessions_.lower_bound({director, 0, 0});
              it != sessions_.end() && std::get<0>(it->first) == director; ++it)
             keys.push_back(it->first);
-        for (const Key& key : keys) end(key, "reset");
+        for (const AttemptKey& key : keys) end_session(key, "reset");
     });
 }
-void NodeEmulator::tell(const std::string& director, const std::string& line) {
-    const auto it = tellers_.find(director);
-    if (it != tellers_.end() && it->second.stream && !it->second.stream->is_disconnected())
-        it->second.stream->write(line + "\n");
+void NodeEmulator::send_event(const std::string& director, const std::string& line) {
+    const auto it = directors_.find(director);
+    if (it != directors_.end() && it->second.event_stream && !it->second.event_stream->is_disconnected())
+        it->second.event_stream->write(line + "\n");
 }
-void NodeEmulator::tick() {
-    tick_ = loop_.after(settings_.note_interval, [this] { tick(); });
+void NodeEmulator::send_notes() {
+    note_timer_ = loop_.after(settings_.note_interval, [this] { send_notes(); });
     if (hung_) return;
     const double share = fleet_.delivered_share(number_, loop_.now());
-    for (auto& [director, teller] : tellers_) {
-        if (!teller.stream || teller.stream->is_disconnected()) continue;
-        tell(director, "{\"event\":\"tick\"}");
-        if (share >= 0.98 && !teller.was_short) continue;
-        teller.was_short = share < 0.98;
-        // On one session of each director.
+    for (auto& [director, state] : directors_) {
+        if (!state.event_stream || state.event_stream->is_disconnected()) continue;
+        send_event(director, "{\"event\":\"tick\"}");
+        if (share >= 0.98 && !state.was_short_of_rate) continue;
+        state.was_short_of_rate = share < 0.98;
+        // The note is sent for one session of each director.
         const auto first = sessions_.lower_bound({director, 0, 0});
         if (first == sessions_.end() || std::get<0>(first->first) != director) continue;
         const std::string line = json{
@@ -530,96 +536,99 @@
             {"session", std::get<1>(first->first)},
             {"attempt", std::get<2>(first->first)},
             {"value", share}}.dump();
-        // Late, as a smoothed measurement is.
-        after(settings_.note_delay, [this, line, director = director] { tell(director, line); });
+        // Delayed, as a smoothed measurement is.
+        schedule(settings_.note_delay, [this, line, director = director] { send_event(director, line); });
     }
 }
-void NodeEmulator::refresh() {
-    refresh_ = loop_.after(settings_.report_interval, [this] { refresh(); });
+void NodeEmulator::refresh_load_report() {
+    report_timer_ = loop_.after(settings_.report_interval, [this] { refresh_load_report(); });
     const io::Time now = loop_.now();
-    reports_.emplace_back(now,
-                          json{{"streams", fleet_.stream_count(number_)},
-                               {"link", fleet_.link_utilization(number_, now)},
-                               {"uplink", fleet_.uplink_utilization(fleet_.node_spec(number_).rack, now)}}
-                              .dump());
-    while (reports_.size() > 1 && reports_[1].first < now - 10000) reports_.erase(reports_.begin());
+    load_reports_.emplace_back(
+        now, json{{"streams", fleet_.stream_count(number_)},
+                  {"link", fleet_.link_utilization(number_, now)},
+                  {"uplink", fleet_.uplink_utilization(fleet_.node_spec(number_).rack, now)}}
+                 .dump());
+    while (load_reports_.size() > 1 && load_reports_[1].first < now - 10000)
+        load_reports_.erase(load_reports_.begin());
 }
 
 // ---- Media ----
 
-void NodeEmulator::media(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
-    const auto it = tokens_.find(parts[1]);
-    if (it == tokens_.end()) {
-        // Moved, or over: back to the director with the same sid.
+void NodeEmulator::serve_media(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
+    const auto it = keys_by_token_.find(parts[1]);
+    if (it == keys_by_token_.end()) {
+        // The session was moved or is over: the player has to ask a director again with the same sid.
         http::Response r = http::text_response(410, "this session is over here; ask the director again");
-        if (moved_.count(parts[1])) r.headers.add("X-Ivyfield-Moved", "1");
-        http::allow_any_origin(r.headers, kExposed);
+        if (moved_tokens_.count(parts[1])) r.headers.add("X-Ivyfield-Moved", "1");
+        http::allow_any_origin(r.headers, kExposedResponseHeaders);
         return e->respond(r);
     }
-    const Key key = it->second;
+    const AttemptKey key = it->second;
     Session& s = *sessions_.at(key);
-    s.idle = loop_.after(settings_.idle, [this, key] { end(key, "ended"); });
-    const auto rung = number_of(parts[2]);
+    s.idle_timer = loop_.after(settings_.idle_timeout, [this, key] { end_session(key, "ended"); });
+    const auto rung = parse_number(parts[2]);
     if (!rung || *rung >= settings_.rung_kb.size())
         return e->respond(http::text_response(404, "no such rung"));
     const io::Time now = loop_.now();
     const double share = fleet_.delivered_share(number_, now);
     hints::Keys keys;
-    keys.values["mb"] = static_cast<std::int64_t>(std::llround(kb(s.cls, s.rung) * 8));
-    keys.values["etp"] = static_cast<std::int64_t>(std::llround(kb(s.cls, s.rung) * 8 * share));
+    keys.values["mb"] = static_cast<std::int64_t>(std::llround(rate_kb(s.cls, s.rung) * 8));
+    keys.values["etp"] = static_cast<std::int64_t>(std::llround(rate_kb(s.cls, s.rung) * 8 * share));
     if (share < 0.98) keys.values["du"] = true;
     http::Response r;
-    http::allow_any_origin(r.headers, kExposed);
-    if (parts[3] == "index.m3u8" && !titles_.empty()) {
+    http::allow_any_origin(r.headers, kExposedResponseHeaders);
+    if (parts[3] == "index.m3u8" && !playlists_.empty()) {
         r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
         r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
-        hls::MediaPlaylist shown = titles_.at(*rung);
-        if (live(s.cls)) shown = hls::live_window(shown, now / 1000, 3);
+        hls::MediaPlaylist shown = playlists_.at(*rung);
+        if (is_live(s.cls)) shown = hls::live_window(shown, now / 1000, 3);
         else shown.ended = true;
         r.body = hls::write_media_playlist(shown);
         return e->respond(r);
     }
     if (parts[3] == "index.m3u8") {
-        const auto first = static_cast<std::uint64_t>(now / settings_.segment);
+        const auto first = static_cast<std::uint64_t>(now / settings_.segment_duration);
         r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
         r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
         hls::MediaPlaylist list;
         list.version = 6;
         list.media_sequence = first;
         for (std::uint64_t k = first; k < first + 3; ++k)
-            list.segments.push_back({settings_.segment / 1000, std::to_string(k) + ".ts", false});
+            list.segments.push_back({settings_.segment_duration / 1000, std::to_string(k) + ".ts", false});
         r.body = hls::write_media_playlist(list);
         return e->respond(r);
     }
-    io::Time length = settings_.segment;
+    io::Time length = settings_.segment_duration;
     const char* type = "video/mp2t";
-    if (titles_.empty()) {
+    if (playlists_.empty()) {
         const std::size_t dot = parts[3].find('.');
-        if (!number_of(parts[3].substr(0, dot)) || parts[3].substr(std::min(dot, parts[3].size())) != ".ts")
+        if (!parse_number(parts[3].substr(0, dot)) ||
+            parts[3].substr(std::min(dot, parts[3].size())) != ".ts")
             return e->respond(http::text_response(404, "no such segment"));
-        const double bytes = kb(s.cls, static_cast<int>(*rung)) * settings_.segment * settings_.byte_fraction;
+        const double bytes =
+            rate_kb(s.cls, static_cast<int>(*rung)) * settings_.segment_duration * settings_.byte_fraction;
         r.body.assign(static_cast<std::size_t>(std::max(1.0, bytes)), 'x');
     } else {
-        // Only what the playlist names is served: a path from outside opens nothing else.
-        const hls::MediaPlaylist& title = titles_.at(*rung);
+        // Serves only files that the playlist names, so that a requested path can't reach other files.
+        const hls::MediaPlaylist& title = playlists_.at(*rung);
         const auto found = std::find_if(title.segments.begin(), title.segments.end(),
                                         [&](const hls::Segment& one) { return one.uri == parts[3]; });
         if (found == title.segments.end() && parts[3] != title.map_uri)
             return e->respond(http::text_response(404, "no such segment"));
-        auto bytes = file_text(settings_.media + "/" + parts[2] + "/" + parts[3]);
+        auto bytes = read_file(settings_.media_folder + "/" + parts[2] + "/" + parts[3]);
         if (!bytes) return e->respond(http::text_response(404, "no such file in the media folder"));
         r.body = std::move(*bytes);
         length = found == title.segments.end() ? 0 : found->duration_s * 1000;
         if (!ends_with(parts[3], ".ts")) type = "video/mp4";
     }
     r.headers.add("Content-Type", type);
-    // What the link does not give in time comes later: a segment takes 1 over its share of its length, and
-    // the first byte waits for the excess.
+    // A short link delays the media: a segment takes its duration divided by the delivered share, and its
+    // first byte waits for the time in excess of the duration.
     const io::Time excess = std::min(20000.0, length * (1 / std::max(share, 0.05) - 1));
     keys.values["rd"] = static_cast<std::int64_t>(std::llround(excess));
     r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
     if (excess < 1) return e->respond(r);
-    after(excess, [e, r] { e->respond(r); });
+    schedule(excess, [e, r] { e->respond(r); });
 }
 
 }  // namespace ivyfield::standins
--- a/src/standins/player.cpp
+++ b/src/standins/player.cpp
@@ -11,47 +11,49 @@
                                std::function<void(const PlayerResult&)> done)
     : loop_(loop),
       client_(client),
-      s_(std::move(settings)),
-      director_(std::move(director)),
-      tap_(std::move(tap)),
-      done_(std::move(done)),
-      began_(loop.now()),
-      ends_(loop.now() + s_.watch_duration) {
-    result_.tenant = s_.tenant;
-    result_.cls = s_.cls;
-    result_.offered_worth =
-        s_.worth * s_.rung_worth.at(static_cast<std::size_t>(s_.max_rung)) * s_.watch_duration / 1000;
-    ask();
+      settings_(std::move(settings)),
+      choose_director_(std::move(director)),
+      event_sink_(std::move(tap)),
+      on_finished_(std::move(done)),
+      started_at_(loop.now()),
+      ends_at_(loop.now() + settings_.watch_duration) {
+    result_.tenant = settings_.tenant;
+    result_.cls = settings_.cls;
+    result_.offered_worth = settings_.worth *
+                            settings_.rung_worth.at(static_cast<std::size_t>(settings_.max_rung)) *
+                            settings_.watch_duration / 1000;
+    send_request();
 }
 PlayerEmulator::~PlayerEmulator() = default;
 
-SocketEvent PlayerEmulator::tap_of(const char* what) const {
+SocketEvent PlayerEmulator::make_event(const char* what) const {
     SocketEvent t;
     t.type = what;
     t.at = loop_.now();
-    t.source = s_.name;
-    t.director = asked_director_;
-    t.sid = s_.sid, t.cls = s_.cls, t.title = s_.title, t.tenant = s_.tenant,
-    t.non_idempotent = s_.non_idempotent;
+    t.source = settings_.name;
+    t.director = current_director_;
+    t.sid = settings_.sid, t.cls = settings_.cls, t.title = settings_.title, t.tenant = settings_.tenant,
+    t.non_idempotent = settings_.non_idempotent;
     t.attempt = result_.tries;
     return t;
 }
 
-http::Request PlayerEmulator::request() const {
+http::Request PlayerEmulator::make_request() const {
     hints::Keys keys;
-    keys.values["sid"] = s_.sid;
+    keys.values["sid"] = settings_.sid;
     keys.values["sf"] = hints::Token{"h"};
     keys.values["ot"] = hints::Token{"m"};
     keys.values["su"] = true;
-    keys.values["tb"] =
-        static_cast<std::int64_t>(std::llround(s_.rung_kb.at(static_cast<std::size_t>(s_.max_rung)) * 8));
+    keys.values["tb"] = static_cast<std::int64_t>(
+        std::llround(settings_.rung_kb.at(static_cast<std::size_t>(settings_.max_rung)) * 8));
     http::Request r;
-    r.target = "/v1/watch/" + http::percent_encode(s_.tenant) + "/" + http::percent_encode(s_.cls) + "/" +
-               http::percent_encode(s_.title) + "/master.m3u8";
+    r.target = "/v1/watch/" + http::percent_encode(settings_.tenant) + "/" +
+               http::percent_encode(settings_.cls) + "/" + http::percent_encode(settings_.title) +
+               "/master.m3u8";
     const auto query = [&r](const std::string& payload) {
         r.target += "?CMCD=" + http::percent_encode(payload);
     };
-    switch (s_.hint_style) {
+    switch (settings_.hint_style) {
         case HintStyle::query:
             query(hints::encode_keys(hints::Vocabulary::cmcd, keys));
             break;
@@ -66,10 +68,10 @@
         case HintStyle::missing:
             break;
         case HintStyle::malformed:
-            query("br=abc,,sid=\"" + s_.sid + "\",tb=x,ot=zz,su=?7,nor=\"%%\"");
+            query("br=abc,,sid=\"" + settings_.sid + "\",tb=x,ot=zz,su=?7,nor=\"%%\"");
             break;
         case HintStyle::contradictory:
-            query("sid=\"" + s_.sid + "\",tb=1");
+            query("sid=\"" + settings_.sid + "\",tb=1");
             r.headers.add("CMCD-Session", "sid=\"someone-else\"");
             r.headers.add("CMCD-Object", "tb=999999");
             break;
@@ -80,82 +82,83 @@
     return r;
 }
 
-void PlayerEmulator::ask() {
+void PlayerEmulator::send_request() {
     result_.tries += 1;
     io::Address address;
-    std::tie(asked_director_, address) = director_();
-    asked_at_ = loop_.now();
-    SocketEvent t = tap_of("ask");
-    // Only these carry a sid that the director can know the viewer by.
-    t.details = s_.hint_style == HintStyle::missing || s_.hint_style == HintStyle::contradictory ||
-                        s_.hint_style == HintStyle::over_long
+    std::tie(current_director_, address) = choose_director_();
+    request_sent_at_ = loop_.now();
+    SocketEvent t = make_event("ask");
+    // Requests with these hints carry no sid that identifies the viewer to the director.
+    t.details = settings_.hint_style == HintStyle::missing ||
+                        settings_.hint_style == HintStyle::contradictory ||
+                        settings_.hint_style == HintStyle::over_long
                     ? "unknown"
                     : "";
-    tap_(t);
+    event_sink_(t);
     http::CallOptions options;
     options.connect_timeout = 1000;
     options.timeout = 0;
     options.new_connection = true;
     const auto number = static_cast<std::uint64_t>(result_.tries);
-    call_ = client_.send(address, request(), options,
-                         [this, number](const http::CallResult& r) { answered(number, r); });
-    if (s_.sends_duplicate && result_.tries == 1) {
-        SocketEvent twice = tap_of("ask_again");
+    request_call_ = client_.send(address, make_request(), options,
+                                 [this, number](const http::CallResult& r) { handle_answer(number, r); });
+    if (settings_.sends_duplicate && result_.tries == 1) {
+        SocketEvent twice = make_event("ask_again");
         twice.details = t.details;
-        tap_(twice);
-        twin_due_ = loop_.after(s_.patience + 100, [this] {
-            second_.reset();
-            tap_(tap_of("gave_up_again"));
+        event_sink_(twice);
+        duplicate_timer_ = loop_.after(settings_.patience + 100, [this] {
+            duplicate_call_.reset();
+            event_sink_(make_event("gave_up_again"));
         });
-        second_ = client_.send(address, request(), options, [this](const http::CallResult& r) {
-            SocketEvent t = tap_of("answer_again");
+        duplicate_call_ = client_.send(address, make_request(), options, [this](const http::CallResult& r) {
+            SocketEvent t = make_event("answer_again");
             t.status = r.outcome == http::CallOutcome::response ? r.response.status : 0;
-            tap_(t);
-            twin_due_.stop();
-            const std::shared_ptr<http::Call> keep(std::move(second_));
+            event_sink_(t);
+            duplicate_timer_.stop();
+            const std::shared_ptr<http::Call> keep(std::move(duplicate_call_));
             loop_.post([keep] {});
         });
     }
-    patience_ = loop_.after(s_.patience + 100, [this] { gave_up(); });
-    if (s_.leave_after >= 0 && result_.tries == 1)
-        leave_ = loop_.after(s_.leave_after, [this] {
-            if (!call_) return;
-            call_.reset();
-            drop_twin();
-            tap_(tap_of("left"));
+    answer_timer_ = loop_.after(settings_.patience + 100, [this] { handle_answer_timeout(); });
+    if (settings_.leave_after >= 0 && result_.tries == 1)
+        leave_timer_ = loop_.after(settings_.leave_after, [this] {
+            if (!request_call_) return;
+            request_call_.reset();
+            cancel_duplicate();
+            event_sink_(make_event("left"));
             result_.abandoned += 1;
             finish();
         });
 }
 
-// The answer did not come: a broken rule, unless the director itself was down.
-void PlayerEmulator::gave_up() {
-    tap_(tap_of("gave_up"));
-    call_.reset();
+// No answer arrived in time, which breaks a rule unless the director itself was down.
+void PlayerEmulator::handle_answer_timeout() {
+    event_sink_(make_event("gave_up"));
+    request_call_.reset();
     result_.abandoned += 1;
-    again(0);
+    schedule_return(0);
 }
 
-void PlayerEmulator::answered(std::uint64_t, const http::CallResult& r) {
-    const std::shared_ptr<http::Call> keep(std::move(call_));
+void PlayerEmulator::handle_answer(std::uint64_t, const http::CallResult& r) {
+    const std::shared_ptr<http::Call> keep(std::move(request_call_));
     loop_.post([keep] {});
-    patience_.stop();
-    leave_.stop();
-    SocketEvent t = tap_of("answer");
+    answer_timer_.stop();
+    leave_timer_.stop();
+    SocketEvent t = make_event("answer");
     t.status = r.outcome == http::CallOutcome::response ? r.response.status : 0;
     t.outcome = r.outcome != http::CallOutcome::response ? http::name(r.outcome)
                 : t.status == 200                        ? "plays"
                 : t.status == 503                        ? "refused"
                 : t.status == 504                        ? "failed"
                                                          : "other";
-    tap_(t);
+    event_sink_(t);
     if (t.outcome == "plays") {
-        // The first variant, as RFC 8216 lets a player begin with.
+        // Starts with the first variant, as RFC 8216 allows.
         const std::string& body = r.response.body;
         const std::size_t at = body.find("\nhttp://");
         if (at == std::string::npos) return finish();
         const std::string uri = body.substr(at + 1, body.find('\n', at + 1) - at - 1);
-        return play(uri);
+        return start_playback(uri);
     }
     io::Time least = 0;
     if (t.outcome == "refused") {
@@ -163,23 +166,24 @@
         least = std::atof(std::string(r.response.headers.get("Retry-After").value_or("0")).c_str()) * 1000;
     } else if (t.outcome == "failed") {
         result_.failed += 1;
-        if (s_.non_idempotent) return finish();  // it may have run: this viewer stays away
+        if (settings_.non_idempotent)
+            return finish();  // the set-up may have run: this viewer does not return
     } else {
         result_.errors += 1;
     }
-    again(least);
+    schedule_return(least);
 }
 
-void PlayerEmulator::again(io::Time least) {
+void PlayerEmulator::schedule_return(io::Time least) {
     auto& random = loop_.random();
-    const io::Time wait =
-        std::uniform_real_distribution<double>(s_.min_return_delay, s_.max_return_delay)(random);
-    const bool comes = std::bernoulli_distribution(s_.return_probability)(random);
-    if (!comes || result_.tries >= s_.max_tries || loop_.now() + wait >= ends_) return finish();
-    pause_ = loop_.after(std::max(wait, std::min(least, 3000.0)), [this] { ask(); });
+    const io::Time wait = std::uniform_real_distribution<double>(settings_.min_return_delay,
+                                                                 settings_.max_return_delay)(random);
+    const bool comes = std::bernoulli_distribution(settings_.return_probability)(random);
+    if (!comes || result_.tries >= settings_.max_tries || loop_.now() + wait >= ends_at_) return finish();
+    pause_timer_ = loop_.after(std::max(wait, std::min(least, 3000.0)), [this] { send_request(); });
 }
 
-void PlayerEmulator::play(const std::string& uri) {
+void PlayerEmulator::start_playback(const std::string& uri) {
     // http://ADDRESS/media/TOKEN/RUNG/index.m3u8
     const std::size_t slash = uri.find('/', 7);
     const std::size_t rung_end = uri.rfind('/');
@@ -187,88 +191,89 @@
     node_ = io::Address::parse(uri.substr(7, slash - 7));
     base_path_ = uri.substr(slash, rung_at + 1 - slash);
     rung_ = std::atoi(uri.substr(rung_at + 1, rung_end - rung_at - 1).c_str());
-    const io::Time waited = loop_.now() - began_;
+    const io::Time waited = loop_.now() - started_at_;
     if (!result_.started) {
         result_.startup_time = waited;
-        // Waiting counts from each try on its own; a viewer who had to come again is late.
-        result_.in_time = waited <= s_.startup_target;
+        // The wait counts from the first request, so that a viewer who had to return is late.
+        result_.in_time = waited <= settings_.startup_target;
     }
     result_.started = true;
-    misses_ = 0;
-    fetch();
+    consecutive_timeouts_ = 0;
+    fetch_segment();
 }
 
-void PlayerEmulator::fetch() {
-    if (loop_.now() >= ends_) return finish();
-    segment_began_ = loop_.now();
+void PlayerEmulator::fetch_segment() {
+    if (loop_.now() >= ends_at_) return finish();
+    segment_started_at_ = loop_.now();
     http::Request r;
     hints::Keys keys;
-    keys.values["sid"] = s_.sid;
+    keys.values["sid"] = settings_.sid;
     keys.values["ot"] = hints::Token{"v"};
     keys.values["br"] =
-        static_cast<std::int64_t>(std::llround(s_.rung_kb.at(static_cast<std::size_t>(rung_)) * 8));
-    r.target = base_path_ + std::to_string(rung_) + "/" + std::to_string(segment_++) +
+        static_cast<std::int64_t>(std::llround(settings_.rung_kb.at(static_cast<std::size_t>(rung_)) * 8));
+    r.target = base_path_ + std::to_string(rung_) + "/" + std::to_string(next_segment_++) +
                ".ts?CMCD=" + http::percent_encode(hints::encode_keys(hints::Vocabulary::cmcd, keys));
     http::CallOptions options;
     options.connect_timeout = 1000;
     options.timeout = 8000;
-    media_ =
-        client_.send(node_, std::move(r), options, [this](const http::CallResult& c) { segment_came(c); });
+    segment_call_ =
+        client_.send(node_, std::move(r), options, [this](const http::CallResult& c) { handle_segment(c); });
 }
 
-void PlayerEmulator::segment_came(const http::CallResult& r) {
-    const std::shared_ptr<http::Call> keep(std::move(media_));
+void PlayerEmulator::handle_segment(const http::CallResult& r) {
+    const std::shared_ptr<http::Call> keep(std::move(segment_call_));
     loop_.post([keep] {});
     if (r.outcome != http::CallOutcome::response || r.response.status != 200) {
-        // Moved, over, or the node is lost: back to a director with the same sid.
+        // Moved, over, or the node is lost: asks a director again with the same sid.
         const bool moved =
             r.outcome == http::CallOutcome::response && r.response.headers.get("X-Ivyfield-Moved") == "1";
         if (moved) result_.moves += 1;
         else result_.errors += 1;
-        if (r.outcome == http::CallOutcome::timed_out && ++misses_ < 3) return fetch();
+        if (r.outcome == http::CallOutcome::timed_out && ++consecutive_timeouts_ < 3) return fetch_segment();
         if (moved) {
-            pause_ = loop_.after(300, [this] { ask(); });
+            pause_timer_ = loop_.after(300, [this] { send_request(); });
             return;
         }
-        return again(0);
+        return schedule_return(0);
     }
-    misses_ = 0;
+    consecutive_timeouts_ = 0;
     const io::Time took = std::max(r.elapsed, 1.0);
-    const double share = std::min(1.0, s_.segment_duration / std::max(s_.segment_duration, took));
-    const double lost = share < 0.98 ? (0.98 - share) * s_.shortfall_penalty : 0;
-    const double played = std::min(s_.segment_duration, ends_ - segment_began_) / 1000;
-    result_.earned_worth +=
-        s_.worth * s_.rung_worth.at(static_cast<std::size_t>(rung_)) * played * std::max(0.0, 1 - lost);
-    // The node's word on the rate; a change is the director's.
+    const double share =
+        std::min(1.0, settings_.segment_duration / std::max(settings_.segment_duration, took));
+    const double lost = share < 0.98 ? (0.98 - share) * settings_.shortfall_penalty : 0;
+    const double played = std::min(settings_.segment_duration, ends_at_ - segment_started_at_) / 1000;
+    result_.earned_worth += settings_.worth * settings_.rung_worth.at(static_cast<std::size_t>(rung_)) *
+                            played * std::max(0.0, 1 - lost);
+    // The node announces the rate in mb; a change of it comes from the director.
     const auto dynamic = hints::decode_cmsd_dynamic(r.response.headers.get_all("CMSD-Dynamic"));
     for (const auto& entry : dynamic.entries)
         if (const auto mb = entry.keys.integer("mb")) {
             int best = 0;
-            for (std::size_t k = 0; k < s_.rung_kb.size(); ++k)
-                if (std::llround(s_.rung_kb[k] * 8) <= *mb) best = static_cast<int>(k);
-            best = std::min(best, s_.max_rung);
+            for (std::size_t k = 0; k < settings_.rung_kb.size(); ++k)
+                if (std::llround(settings_.rung_kb[k] * 8) <= *mb) best = static_cast<int>(k);
+            best = std::min(best, settings_.max_rung);
             if (best != rung_) result_.rung_changes += 1;
             rung_ = best;
         }
     if (share < 0.75 && std::bernoulli_distribution(0.1)(loop_.random())) return finish();
-    pause_ = loop_.after(std::max(0.0, s_.segment_duration - took), [this] { fetch(); });
+    pause_timer_ = loop_.after(std::max(0.0, settings_.segment_duration - took), [this] { fetch_segment(); });
 }
 
-// The viewer closes its second request itself: no answer is owed to it any more.
-void PlayerEmulator::drop_twin() {
-    if (!second_) return;
-    second_.reset();
-    twin_due_.stop();
-    tap_(tap_of("left_again"));
+// The player closes its duplicate request itself, so that it no longer needs an answer.
+void PlayerEmulator::cancel_duplicate() {
+    if (!duplicate_call_) return;
+    duplicate_call_.reset();
+    duplicate_timer_.stop();
+    event_sink_(make_event("left_again"));
 }
 
 void PlayerEmulator::finish() {
-    if (over_) return;
-    over_ = true;
-    drop_twin();
-    // Told from the loop: the owner destroys this.
-    pause_ = loop_.after(0, [this] {
-        const auto done = done_;
+    if (finished_) return;
+    finished_ = true;
+    cancel_duplicate();
+    // Reported from the loop, because the owner destroys this object.
+    pause_timer_ = loop_.after(0, [this] {
+        const auto done = on_finished_;
         done(result_);
     });
 }
--- a/src/standins/player.hpp
+++ b/src/standins/player.hpp
@@ -1,5 +1,6 @@
-// A viewer's player as a stand-in: asks a director with CMCD, follows the playlist's first variant at its
-// node, heeds CMSD's mb, goes back to a director when it is moved or its node is lost, gives up, comes again.
+// Emulator of a viewer's player: requests a session from a director with CMCD hints, plays the first variant
+// of the playlist at its node and follows CMSD's mb. It asks a director again when it is moved or its node is
+// lost, gives up after its patience, and may return after a pause. Times are milliseconds.
 #pragma once
 
 #include <functional>
@@ -11,70 +12,75 @@
 
 namespace ivyfield::standins {
 
+// How a player sends its CMCD keys, if at all.
 enum class HintStyle { query, headers, missing, malformed, contradictory, over_long };
 
+// Behaviour of one player.
 struct PlayerSettings {
     std::string name, sid, tenant, cls, title;
     bool non_idempotent = false;
     io::Time patience = 5000, startup_target = 1500, watch_duration = 30000;
-    std::vector<double> rung_kb, rung_worth;  // the class's ladder
-    double worth = 1;                         // of a second at worth 1
+    std::vector<double> rung_kb, rung_worth;  // the ladder of the class
+    double worth = 1;                         // of one second at a rung of worth 1
     int max_rung = 0;
     HintStyle hint_style = HintStyle::query;
-    bool sends_duplicate = false;      // the same request again while the first is out
-    io::Time leave_after = -1;         // closes its connection unanswered so soon; below 0: never
-    double return_probability = 0.85;  // after a break, a refusal, a failure of a harmless class
+    bool sends_duplicate = false;  // sends the same request again while the first is pending
+    io::Time leave_after = -1;     // closes its connection without an answer after this time; below 0: never
+    double return_probability =
+        0.85;  // after an interruption, a rejection or the failure of an idempotent class
     io::Time min_return_delay = 1600, max_return_delay = 2900;
     int max_tries = 4;
     io::Time segment_duration = 1000;
-    double shortfall_penalty = 6;  // worth lost for each point of rate missing under 98 in 100
+    double shortfall_penalty = 6;  // worth lost per percentage point of rate below 98 %
 };
 
+// What became of one player.
 struct PlayerResult {
     std::string tenant, cls;
     bool started = false,
-         in_time = false;  // in_time: playing within the aim, by the first try or a later one
+         in_time = false;  // in_time: playback within the startup target, in whichever try
     int tries = 0, rejected = 0, failed = 0, abandoned = 0, errors = 0, rung_changes = 0, moves = 0;
-    io::Time startup_time = -1;  // to the first playlist, from the first ask
+    io::Time startup_time = -1;  // from the first request to the first playlist
     double offered_worth = 0, earned_worth = 0;
 };
 
+// One player. `done` is called from the loop, so that it may destroy the player.
 class PlayerEmulator {
   public:
-    // `director` gives the address to ask this time.
+    // `director` returns the name and address of the director for the next request.
     PlayerEmulator(io::Loop& loop, http::Client& client, PlayerSettings settings,
                    std::function<std::pair<std::string, io::Address>()> director, EventSink tap,
                    std::function<void(const PlayerResult&)> done);
     ~PlayerEmulator();
 
   private:
-    void ask();
-    http::Request request() const;
-    void answered(std::uint64_t asked, const http::CallResult& result);
-    void gave_up();
-    void again(io::Time least);
-    void play(const std::string& base);
-    void fetch();
-    void segment_came(const http::CallResult& result);
-    void drop_twin();
+    void send_request();
+    http::Request make_request() const;
+    void handle_answer(std::uint64_t asked, const http::CallResult& result);
+    void handle_answer_timeout();
+    void schedule_return(io::Time least);
+    void start_playback(const std::string& base);
+    void fetch_segment();
+    void handle_segment(const http::CallResult& result);
+    void cancel_duplicate();
     void finish();
-    SocketEvent tap_of(const char* what) const;
+    SocketEvent make_event(const char* what) const;
 
     io::Loop& loop_;
     http::Client& client_;
-    PlayerSettings s_;
-    std::function<std::pair<std::string, io::Address>()> director_;
-    EventSink tap_;
-    std::function<void(const PlayerResult&)> done_;
+    PlayerSettings settings_;
+    std::function<std::pair<std::string, io::Address>()> choose_director_;
+    EventSink event_sink_;
+    std::function<void(const PlayerResult&)> on_finished_;
     PlayerResult result_;
-    std::string asked_director_, base_path_;
+    std::string current_director_, base_path_;
     io::Address node_;
-    std::unique_ptr<http::Call> call_, second_, media_;
-    io::Timer patience_, leave_, pause_, twin_due_;
-    io::Time began_ = 0, asked_at_ = 0, ends_ = 0, segment_began_ = 0;
-    std::uint64_t segment_ = 0;
-    int rung_ = 0, best_rung_ = 0, misses_ = 0;
-    bool playing_ = false, over_ = false;
+    std::unique_ptr<http::Call> request_call_, duplicate_call_, segment_call_;
+    io::Timer answer_timer_, leave_timer_, pause_timer_, duplicate_timer_;
+    io::Time started_at_ = 0, request_sent_at_ = 0, ends_at_ = 0, segment_started_at_ = 0;
+    std::uint64_t next_segment_ = 0;
+    int rung_ = 0, best_rung_ = 0, consecutive_timeouts_ = 0;
+    bool playing_ = false, finished_ = false;
 };
 
 }  // namespace ivyfield::standins
--- a/tests/audit/audit_test.cpp
+++ b/tests/audit/audit_test.cpp
@@ -1,5 +1,5 @@
-// The audit must be able to fail: for each rule, traffic of a director that breaks it, and the same traffic
-// kept.
+// The audit has to detect violations: each rule is checked with recorded traffic that breaks it and with the
+// same traffic changed so that it complies.
 #include "audit/audit.hpp"
 
 #include <gtest/gtest.h>
@@ -78,7 +78,7 @@
     odd.answer(10, "v", 500);
     EXPECT_EQ(odd.broken(), Rules{1});
 }
-TEST(Audit, Rule1TheSecondOfTwoAlikeRequests) {
+TEST(Audit, Rule1DuplicateRequestsNeedAnAnswerOfTheirOwn) {
     Traffic t;
     t.add(0, "ask_again", "v");
     t.add(10, "answer_again", "v").status = 200;
@@ -94,14 +94,14 @@
     t.taps.pop_back();
     EXPECT_EQ(t.broken(), Rules{1}) << "never answered";
 }
-TEST(Audit, Rule6EachLifeOfADirectorCountsFromItsStart) {
+TEST(Audit, Rule6EachIncarnationOfADirectorCountsFromItsStart) {
     Traffic t;
     for (int k = 0; k < 2; ++k) t.add(k * 100, "setup", "n0", "free").attempt = 1;
     EXPECT_EQ(t.broken(), Rules{6});
     t.outages = {{"d0", 50, 60, true}};
     EXPECT_EQ(t.broken(), Rules{});
 }
-TEST(Audit, Rule2PaidSentAgainThoughItMayHaveRun) {
+TEST(Audit, Rule2NonIdempotentSetupRetriedThoughItMayHaveRun) {
     Traffic t;
     t.add(0, "ask", "v");
     t.add(10, "setup", "n0");
@@ -113,7 +113,7 @@
     t.taps[2].outcome = "full";
     EXPECT_EQ(t.broken(), Rules{}) << "full proves that it never ran";
 }
-TEST(Audit, Rule2PaidRefusedThoughItMayHaveRun) {
+TEST(Audit, Rule2NonIdempotentSetupRejectedThoughItMayHaveRun) {
     Traffic t;
     t.add(0, "ask", "v");
     t.add(10, "setup", "n0");
@@ -128,14 +128,14 @@
     t.add(0, "ask", "v");
     t.add(10, "setup", "n0");
     t.over(20, "n0", 0, 503, "full");
-    t.add(30, "ran", "n0");  // it said full and ran all the same
+    t.add(30, "ran", "n0");  // answered full but ran all the same
     t.add(40, "setup", "n1").attempt = 1;
     t.add(50, "ran", "n1").attempt = 1;
     t.over(50, "n1", 1, 200, "started");
     t.answer(60, "v", 200);
     EXPECT_EQ(t.broken(), Rules{2});
 }
-TEST(Audit, Rule2TwoAttemptsOutAtOnce) {
+TEST(Audit, Rule2TwoAttemptsPendingAtOnce) {
     Traffic t;
     t.add(0, "ask", "v", "free");
     t.add(10, "setup", "n0", "free");
@@ -144,7 +144,7 @@
     t.over(2100, "n1", 1, 200, "started", "free");
     t.answer(2110, "v", 200, "free");
     EXPECT_EQ(t.broken(), Rules{2});
-    t.taps[3].at = 310;  // its word to the first node was on the way
+    t.taps[3].at = 310;  // the cancellation was still on its way to the first node
     EXPECT_EQ(t.broken(), Rules{});
 }
 TEST(Audit, Rule3SentToADrainedOrVanishedNode) {
@@ -163,14 +163,14 @@
     back.add(900, "setup", "n0");
     EXPECT_EQ(back.broken(), Rules{});
 }
-TEST(Audit, Rule4ANodePushedOver) {
+TEST(Audit, Rule4AColdNodeOverloaded) {
     Traffic t;
     t.add(0, "node_start", "n0").outcome = "cold";
     EXPECT_EQ(t.broken(), Rules{});
     t.add(10, "node_fell", "n0");
     EXPECT_EQ(t.broken(), Rules{4});
 }
-TEST(Audit, Rule5FloorsAndSeats) {
+TEST(Audit, Rule5MinimumRungsAndSeats) {
     Traffic floor, seats;
     floor.add(0, "setup", "n0", "free").rung = 0;
     EXPECT_EQ(floor.broken(), Rules{5});
@@ -195,11 +195,11 @@
         t.over(6, "n0", 0, 0, how, "free");
         t.add(7, "setup", "n1", "free").session = 3;
         EXPECT_EQ(t.broken(), std::string(how) == "error" ? Rules{} : Rules{5});
-        Traffic let_go = t;
-        let_go.taps.pop_back();
-        let_go.add(7, "cancel", "n0", "free");
-        let_go.add(8, "setup", "n1", "free").session = 3;
-        EXPECT_EQ(let_go.broken(), Rules{});
+        Traffic released = t;
+        released.taps.pop_back();
+        released.add(7, "cancel", "n0", "free");
+        released.add(8, "setup", "n1", "free").session = 3;
+        EXPECT_EQ(released.broken(), Rules{});
         Traffic down = t;
         down.taps.pop_back();
         down.add(7, "node_down", "n0");
@@ -207,7 +207,7 @@
             down.add(8, "setup", "n1", "free").session = static_cast<std::uint64_t>(k);
         EXPECT_EQ(down.broken(), Rules{});
     }
-    // Not hung: a set-up whose connection closed before it was done is not done.
+    // Without a hang, a set-up whose connection closes before it has run does not run.
     Traffic t;
     for (int k = 1; k <= 2; ++k) t.add(k, "setup", "n0", "free").session = static_cast<std::uint64_t>(k);
     t.over(6, "n0", 0, 0, "gone", "free");
@@ -227,12 +227,12 @@
         t.taps.back().session = session;
     };
     for (std::uint64_t k = 0; k < 3; ++k) again(100.0 * static_cast<double>(k + 1), k + 10);
-    EXPECT_EQ(t.broken(), Rules{}) << "one free and half of four";
+    EXPECT_EQ(t.broken(), Rules{}) << "one free retry and half of four requests";
     again(500, 20);
     EXPECT_EQ(t.broken(), Rules{6});
     t.taps.resize(t.taps.size() - 2);
     again(10200, 20);
-    EXPECT_EQ(t.broken(), Rules{6}) << "the requests are past as well";
+    EXPECT_EQ(t.broken(), Rules{6}) << "the requests have left the window too";
 }
 
 }  // namespace
--- a/tests/day/day_test.cpp
+++ b/tests/day/day_test.cpp
@@ -1,4 +1,4 @@
-// Whole days through the real director on simulated time: HTTP, hints, nodes, list, faults, rules.
+// Whole scenarios through the real director on simulated time: HTTP, hints, nodes, list, faults, rules.
 #include <gtest/gtest.h>
 
 #include "cli/day_command.hpp"
@@ -17,7 +17,7 @@
 }
 void expect_good(const day::Report& r) { EXPECT_TRUE(r.has_passed()) << r.format_table(); }
 
-TEST(Day, AQuietDayPlaysNearlyAllInTime) {
+TEST(Day, AQuietScenarioPlaysNearlyAllInTime) {
     const auto r = cli::play_virtual_day(loaded(file("quiet")), 1, {});
     expect_good(r);
     EXPECT_GT(r.all.viewers, 20);
@@ -25,7 +25,7 @@
     EXPECT_GE(r.all.in_time, r.all.started * 9 / 10) << r.format_table();
     EXPECT_EQ(r.all.abandoned, 0);
 }
-TEST(Day, TheBadDayKeepsAllRulesUnderSeveralSeeds) {
+TEST(Day, TheBadDayScenarioKeepsAllRulesUnderSeveralSeeds) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         const auto r = cli::play_virtual_day(loaded(file("bad-day")), seed, {});
         expect_good(r);
@@ -36,7 +36,7 @@
         EXPECT_GT(r.further_attempts, 0);
     }
 }
-TEST(Day, DaysMadeForOneRuleKeepIt) {
+TEST(Day, ScenariosAimedAtOneRuleKeepIt) {
     for (const auto& [name, rule] : {std::pair<const char*, int>{"cold", 4}, {"tries", 6}, {"lives", 5}})
         for (std::uint64_t seed = 1; seed <= 2; ++seed) {
             const auto r = cli::play_virtual_day(loaded(file(name)), seed, {});
@@ -44,28 +44,30 @@
             EXPECT_GT(r.audit_result.check_counts.at(rule), 5) << r.format_table();
         }
 }
-// Nodes that came back between two looks of the list took set-ups unpaced: only their own hello tells in
-// time. And further attempts counted against an earlier life of a director, by the audit.
-TEST(Day, SeedsOfOtherDaysThatOnceFailed) {
+// Guards against two failures. A node that restarted between two polls of the list got set-ups without
+// pacing, because only its own hello announces the restart in time. And the audit counted further attempts
+// against an earlier incarnation of a director.
+TEST(Day, SeedsOfOtherScenariosThatOnceFailed) {
     for (const std::uint64_t seed : {6, 14, 22})
         expect_good(cli::play_virtual_day(loaded(file("cold")), seed, {}));
     for (const std::uint64_t seed : {16, 17, 109})
         expect_good(cli::play_virtual_day(loaded(file("tries")), seed, {}));
 }
-// Seeds on which a director once held seven sessions in six seats (it took a node's new life for the end of
-// what had been set up in it), or the world's teardown called into what was gone.
+// Seeds on which a director once held seven sessions in six seats, because it took a node's new incarnation
+// for the end of sessions that had been set up in it, or on which the teardown of the simulated world called
+// into destroyed objects.
 TEST(Day, SeedsThatOnceFailed) {
     const auto day = loaded(file("bad-day"));
     for (const std::uint64_t seed : {104, 109, 142, 166, 170, 226, 227, 292, 295})
         expect_good(cli::play_virtual_day(day, seed, {}));
 }
-TEST(Day, TheSameSeedIsTheSameDay) {
+TEST(Day, TheSameSeedGivesTheSameReport) {
     const auto day = loaded(file("bad-day"));
     const std::string once = cli::play_virtual_day(day, 3, {}).to_json().dump();
     EXPECT_EQ(once, cli::play_virtual_day(day, 3, {}).to_json().dump());
     EXPECT_NE(once, cli::play_virtual_day(day, 4, {}).to_json().dump());
 }
-TEST(Day, FaultsThatWouldHurtNothingAreFaultsOfTheFile) {
+TEST(Day, FaultsWithoutEffectAreErrorsOfTheFile) {
     auto doc = file("quiet");
     doc["faults"] = {{{"kind", "hang"}, {"at_ms", 1}},
                      {{"kind", "slow_link"}, {"at_ms", 1}, {"nodes", {0}}, {"value", 1}},
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -1,5 +1,5 @@
-// Directors that break the rules on purpose, on the same wire as the real one: the day's audit must catch
-// each. A rogue speaks HTTP to players, list and nodes, and does one thing wrong.
+// Directors that break one rule on purpose, over the same protocols as the real one: the audit of a scenario
+// has to detect each. The faulty director speaks HTTP to players, list and nodes.
 #include <gtest/gtest.h>
 
 #include "cli/day_command.hpp"
@@ -13,28 +13,28 @@
 
 namespace {
 
-enum class Slip {
+enum class Defect {
     none,
     never_answers,
-    repeats_paid,
-    two_at_once,
-    ignores_drains,
-    rushes_cold,
-    under_floor,
-    over_seats,
-    over_budget
+    retries_non_idempotent,
+    parallel_attempts,
+    sends_to_draining,
+    overloads_cold_node,
+    below_min_rung,
+    exceeds_seats,
+    exceeds_retry_budget
 };
 
-class Rogue {
+class FaultyDirector {
   public:
-    Rogue(io::Loop& loop, const config::Config& config, Slip slip)
+    FaultyDirector(io::Loop& loop, const config::Config& config, Defect defect)
         : loop_(loop),
           config_(config),
-          slip_(slip),
+          defect_(defect),
           client_(loop, {}),
           server_(loop, config.listen, {}, [this](const http::ExchangePtr& e) { serve(e); }),
           consul_(loop, consul_settings(config),
-                  [this](const std::vector<discovery::Instance>& all) { listed(all); }) {}
+                  [this](const std::vector<discovery::Instance>& all) { update_nodes(all); }) {}
 
   private:
     static discovery::ConsulSettings consul_settings(const config::Config& c) {
@@ -42,19 +42,19 @@
         s.address = c.consul, s.service = c.service, s.kinds = c.kinds, s.user_agent = "ivyfield/" + c.name;
         return s;
     }
-    struct Known {
+    struct KnownNode {
         io::Address address;
         bool ready = false;
         int streams = 0;
     };
-    void listed(const std::vector<discovery::Instance>& all) {
-        if (slip_ != Slip::ignores_drains)
+    void update_nodes(const std::vector<discovery::Instance>& all) {
+        if (defect_ != Defect::sends_to_draining)
             for (auto& [id, node] : nodes_) node.ready = false;
         for (const auto& one : all) {
-            Known& node = nodes_[one.id];
+            KnownNode& node = nodes_[one.id];
             node.address = one.address;
-            if (one.entry.last_start > 0 && slip_ == Slip::rushes_cold) cold_ = one.id;
-            if (slip_ != Slip::ignores_drains || one.entry.state == ServerState::ready)
+            if (one.entry.last_start > 0 && defect_ == Defect::overloads_cold_node) cold_node_ = one.id;
+            if (defect_ != Defect::sends_to_draining || one.entry.state == ServerState::ready)
                 node.ready = one.entry.state == ServerState::ready;
         }
     }
@@ -75,23 +75,23 @@
         auto s = std::make_shared<Session>();
         s->player = e;
         s->cls = part(4), s->title = part(5);
-        s->sid = part(3) + std::to_string(++last_);
+        s->sid = part(3) + std::to_string(++last_session_);
         if (const auto cmcd = http::query_argument(e->request().query(), "CMCD")) {
             const auto keys = hints::decode_keys(hints::Vocabulary::cmcd, *cmcd).keys;
             s->sid = keys.text("sid").value_or(s->sid);
         }
-        s->id = last_;
+        s->id = last_session_;
         for (const auto& c : config_.settings.classes)
             if (c.name == s->cls) s->paid = c.idempotency == Idempotency::non_idempotent;
-        if (slip_ == Slip::never_answers && last_ % 5 == 0) {
-            kept_.push_back(e);
+        if (defect_ == Defect::never_answers && last_session_ % 5 == 0) {
+            unanswered_.push_back(e);
             return;
         }
         send(s);
     }
-    // The least used that is ready; a rogue that rushes sends all to the cold one.
+    // The least used ready node; the director that overloads a cold node sends everything to it.
     std::string choose(const Session& s) {
-        if (!cold_.empty()) return cold_;
+        if (!cold_node_.empty()) return cold_node_;
         std::string best;
         for (const auto& [id, node] : nodes_)
             if (node.ready && id != s.first && (best.empty() || node.streams < nodes_[best].streams))
@@ -106,9 +106,10 @@
         int rung = 1;
         for (const auto& c : config_.settings.classes)
             if (c.name == s->cls) {
-                rung = slip_ == Slip::under_floor ? 0 : std::max(c.min_rung, 0);
-                auto& held = held_[s->cls + "/" + s->title];
-                if (c.seats > 0 && slip_ != Slip::over_seats && held >= c.seats) return answer(s, 503, "");
+                rung = defect_ == Defect::below_min_rung ? 0 : std::max(c.min_rung, 0);
+                auto& held = session_counts_[s->cls + "/" + s->title];
+                if (c.seats > 0 && defect_ != Defect::exceeds_seats && held >= c.seats)
+                    return answer(s, 503, "");
                 held += 1;
             }
         const int attempt = s->attempt++;
@@ -128,12 +129,12 @@
                 if (s->answered) return;
                 if (c.outcome == http::CallOutcome::response && c.response.status == 200)
                     return answer(s, 200, json::parse(c.response.body)["media"]);
-                const bool again =
-                    (slip_ == Slip::repeats_paid && s->paid) || (slip_ == Slip::over_budget && !s->paid);
+                const bool again = (defect_ == Defect::retries_non_idempotent && s->paid) ||
+                                   (defect_ == Defect::exceeds_retry_budget && !s->paid);
                 if (again && s->attempt < 4) return send(s);
                 answer(s, 504, "");
             });
-        if (slip_ == Slip::two_at_once && attempt == 0) {
+        if (defect_ == Defect::parallel_attempts && attempt == 0) {
             timers_.push_back(loop_.after(5, [this, s] {
                 if (!s->answered) send(s);
             }));
@@ -150,12 +151,12 @@
 
     io::Loop& loop_;
     config::Config config_;
-    Slip slip_;
-    std::map<std::string, Known> nodes_;
-    std::map<std::string, int> held_;
-    std::string cold_;
-    std::uint64_t last_ = 0, last_call_ = 0;
-    std::vector<http::ExchangePtr> kept_;
+    Defect defect_;
+    std::map<std::string, KnownNode> nodes_;
+    std::map<std::string, int> session_counts_;
+    std::string cold_node_;
+    std::uint64_t last_session_ = 0, last_call_ = 0;
+    std::vector<http::ExchangePtr> unanswered_;
     std::vector<io::Timer> timers_;
     http::Client client_;
     std::map<std::uint64_t, std::unique_ptr<http::Call>> calls_;
@@ -163,17 +164,17 @@
     discovery::ConsulClient consul_;
 };
 
-struct RogueHost : day::DirectorHost {
+struct FaultyDirectorHost : day::DirectorHost {
     io::World& world;
-    Slip slip;
-    std::map<int, std::unique_ptr<Rogue>> rogues;
-    RogueHost(io::World& w, Slip s) : world(w), slip(s) {}
+    Defect defect;
+    std::map<int, std::unique_ptr<FaultyDirector>> directors;
+    FaultyDirectorHost(io::World& w, Defect s) : world(w), defect(s) {}
     io::Address reserve_address(int n) override {
         return {"127.0.0.1", static_cast<std::uint16_t>(8001 + n)};
     }
     void start(int n, const std::string& text) override {
-        rogues[n] =
-            std::make_unique<Rogue>(world.start("d" + std::to_string(n)), config::load(text).config, slip);
+        directors[n] = std::make_unique<FaultyDirector>(world.start("d" + std::to_string(n)),
+                                                        config::load(text).config, defect);
     }
     void kill(int) override {}
     void set_stalled(int, bool) override {}
@@ -181,30 +182,30 @@
     io::Time timing_tolerance() const override { return 5; }
 };
 
-std::vector<int> broken_by(Slip slip) {
+std::vector<int> find_broken_rules(Defect defect) {
     json doc = json::parse(config::read_file(IVYFIELD_SOURCE_DIR "/examples/days/quiet.json"));
     doc["directors"] = 1;
     doc["length_ms"] = 8000;
     doc["director"]["classes"][0]["seats"] = 3;
     doc["director"]["rules"]["budget"] = {{"per_request", 0.05}, {"free", 1}, {"window_ms", 10000}};
     json& faults = doc["faults"] = json::array();
-    if (slip == Slip::repeats_paid || slip == Slip::over_budget)
+    if (defect == Defect::retries_non_idempotent || defect == Defect::exceeds_retry_budget)
         faults.push_back({{"kind", "errors"},
                           {"at_ms", 0},
                           {"for_ms", 8000},
                           {"value", 0.7},
                           {"nodes", {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}});
-    if (slip == Slip::ignores_drains)
+    if (defect == Defect::sends_to_draining)
         faults.push_back({{"kind", "drain"}, {"at_ms", 1000}, {"for_ms", 6000}, {"nodes", {0, 1, 2}}});
-    if (slip == Slip::rushes_cold) {
+    if (defect == Defect::overloads_cold_node) {
         doc["nodes"][0]["cold"] = true;
         doc["arrivals"][0]["per_s"] = 10;
     }
-    if (slip == Slip::over_seats || slip == Slip::none) doc["arrivals"][0]["per_s"] = 4;
+    if (defect == Defect::exceeds_seats || defect == Defect::none) doc["arrivals"][0]["per_s"] = 4;
     const auto loaded = day::load_scenario(doc.dump());
     for (const auto& f : loaded.errors) ADD_FAILURE() << f.path << ": " << f.message;
     io::World world(5);
-    RogueHost host(world, slip);
+    FaultyDirectorHost host(world, defect);
     day::Report report;
     bool over = false;
     day::ScenarioRunner day(world.start("rig"), loaded.scenario, 5, host, 1500,
@@ -219,25 +220,33 @@
 }
 using Rules = std::vector<int>;
 
-TEST(Rogue, OneThatKeepsTheRulesIsNotBlamed) { EXPECT_EQ(broken_by(Slip::none), Rules{}); }
-TEST(Rogue, AnswersThatNeverComeAreCaught) { EXPECT_EQ(broken_by(Slip::never_answers), Rules{1}); }
-TEST(Rogue, RepeatedPaidSetUpsAreCaught) {
-    const auto broken = broken_by(Slip::repeats_paid);
+TEST(FaultyDirector, ACompliantDirectorBreaksNoRule) { EXPECT_EQ(find_broken_rules(Defect::none), Rules{}); }
+TEST(FaultyDirector, MissingAnswersAreDetected) {
+    EXPECT_EQ(find_broken_rules(Defect::never_answers), Rules{1});
+}
+TEST(FaultyDirector, RetriedNonIdempotentSetupsAreDetected) {
+    const auto broken = find_broken_rules(Defect::retries_non_idempotent);
     EXPECT_TRUE(std::count(broken.begin(), broken.end(), 2));
 }
-TEST(Rogue, TwoAttemptsAtOnceAreCaught) {
-    const auto broken = broken_by(Slip::two_at_once);
+TEST(FaultyDirector, ParallelAttemptsAreDetected) {
+    const auto broken = find_broken_rules(Defect::parallel_attempts);
     EXPECT_TRUE(std::count(broken.begin(), broken.end(), 2));
 }
-TEST(Rogue, SendsToDrainedNodesAreCaught) { EXPECT_EQ(broken_by(Slip::ignores_drains), Rules{3}); }
-TEST(Rogue, ANodePushedOverIsCaught) {
-    const auto broken = broken_by(Slip::rushes_cold);
+TEST(FaultyDirector, SetupsToDrainingNodesAreDetected) {
+    EXPECT_EQ(find_broken_rules(Defect::sends_to_draining), Rules{3});
+}
+TEST(FaultyDirector, AnOverloadedColdNodeIsDetected) {
+    const auto broken = find_broken_rules(Defect::overloads_cold_node);
     EXPECT_TRUE(std::count(broken.begin(), broken.end(), 4));
 }
-TEST(Rogue, RungsUnderTheFloorAreCaught) { EXPECT_EQ(broken_by(Slip::under_floor), Rules{5}); }
-TEST(Rogue, MoreSessionsThanSeatsAreCaught) { EXPECT_EQ(broken_by(Slip::over_seats), Rules{5}); }
-TEST(Rogue, AttemptsBeyondTheBudgetAreCaught) {
-    const auto broken = broken_by(Slip::over_budget);
+TEST(FaultyDirector, RungsBelowTheMinimumAreDetected) {
+    EXPECT_EQ(find_broken_rules(Defect::below_min_rung), Rules{5});
+}
+TEST(FaultyDirector, MoreSessionsThanSeatsAreDetected) {
+    EXPECT_EQ(find_broken_rules(Defect::exceeds_seats), Rules{5});
+}
+TEST(FaultyDirector, AttemptsBeyondTheRetryBudgetAreDetected) {
+    const auto broken = find_broken_rules(Defect::exceeds_retry_budget);
     EXPECT_TRUE(std::count(broken.begin(), broken.end(), 6));
 }
 
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -1,4 +1,4 @@
-// The physics against answers worked out by hand.
+// Compares the capacity model with results computed by hand.
 #include "fleet/fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     }
 };
 
-TEST_F(FleetTest, AShortLinkGivesAllTheSameShare) {
+TEST_F(FleetTest, AnOverloadedLinkGivesAllSessionsTheSameShare) {
     play(a, 800);
     const auto more = play(a, 450);
     EXPECT_DOUBLE_EQ(fleet.delivered_share(a, 0), 0.8);
@@ -33,9 +33,9 @@
     EXPECT_EQ(fleet.begin_setup(a, 0), SetupResult::full);
     fleet.set_rung(a, more, 1, 200);
     EXPECT_DOUBLE_EQ(fleet.delivered_share(a, 0), 1);
-    EXPECT_EQ(fleet.begin_setup(a, 0), SetupResult::full) << "asked whole";
+    EXPECT_EQ(fleet.begin_setup(a, 0), SetupResult::full) << "the link is fully requested";
 }
-TEST_F(FleetTest, AnUplinkIsSharedByItsRack) {
+TEST_F(FleetTest, TheNodesOfARackShareItsUplink) {
     play(a, 1000);
     play(b, 1000);
     EXPECT_DOUBLE_EQ(fleet.delivered_share(a, 0), 0.75);
@@ -51,17 +51,17 @@
     EXPECT_EQ(fleet.stream_count(a), 1);
     EXPECT_EQ(fleet.session_count(a), 3u);
 }
-TEST_F(FleetTest, PlacesAreHeldFromTheSetUpOn) {
+TEST_F(FleetTest, APendingSetupReservesAStreamSlot) {
     for (int k = 0; k < 5; ++k) EXPECT_EQ(fleet.begin_setup(a, 0), SetupResult::accepted);
     EXPECT_EQ(fleet.begin_setup(a, 0), SetupResult::full);
     fleet.cancel_setup(a);
     EXPECT_EQ(fleet.begin_setup(a, 0), SetupResult::accepted);
 }
-TEST_F(FleetTest, AColdNodeFallsWhenItIsPushed) {
+TEST_F(FleetTest, AColdNodeCrashesWhenOverloaded) {
     fleet.start_node(a, 100, false);
     EXPECT_DOUBLE_EQ(fleet.warmth(a, 100), 0.4);
     EXPECT_DOUBLE_EQ(fleet.warmth(a, 5100), 0.7);
-    // 5 places in 10 s, warmth 0.4, four times that in a second: 0.8; two more are let pass.
+    // 5 streams in 10 s at warmth 0.4, four times that in one second: 0.8; two more are tolerated.
     EXPECT_EQ(fleet.begin_setup(a, 100), SetupResult::accepted);
     EXPECT_EQ(fleet.begin_setup(a, 200), SetupResult::accepted);
     EXPECT_EQ(fleet.begin_setup(a, 300), SetupResult::overloaded);
@@ -70,7 +70,7 @@
     fleet.start_node(b, 100, false);
     for (int k = 0; k < 5; ++k) EXPECT_EQ(fleet.begin_setup(b, 100 + 1100 * k), SetupResult::accepted);
 }
-TEST_F(FleetTest, ASlowLinkAndANeighbour) {
+TEST_F(FleetTest, SlowLinkAndBackgroundTraffic) {
     play(a, 500);
     fleet.set_link_factor(a, 0.25);
     EXPECT_DOUBLE_EQ(fleet.delivered_share(a, 0), 0.5);
--- a/tests/nodes/link_test.cpp
+++ b/tests/nodes/link_test.cpp
@@ -55,7 +55,7 @@
             s.name = "n" + std::to_string(k);
             s.rung_kb = {100};
             s.classes = {{"c", 1, false}};
-            s.idle = 1e9;
+            s.idle_timeout = 1e9;
             nodes.push_back(std::make_unique<standins::NodeEmulator>(
                 rig, fleet, fleet.add_node({k, 1e6, 1000}), s, standins::EventSink{}));
             nodes.back()->start(true);
