--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -97,16 +97,16 @@
 // Plays a day file and prints the report. Returns 1 if a rule was broken, 2 if the file has errors.
 int play_day_file(const std::string& path, std::optional<std::uint64_t> seed, bool simulated,
                   const cli::DayOptions& options) {
-    const day::LoadedDay loaded = day::load_day(config::read_file(path));
-    for (const config::ConfigError& error : loaded.faults)
+    const day::LoadedScenario loaded = day::load_scenario(config::read_file(path));
+    for (const config::ConfigError& error : loaded.errors)
         std::cerr << path << ": " << (error.path.empty() ? "/" : error.path) << ": " << error.message << "\n";
-    if (!loaded.faults.empty()) return 2;
+    if (!loaded.errors.empty()) return 2;
     ::signal(SIGPIPE, SIG_IGN);
-    const std::uint64_t day_seed = seed.value_or(loaded.day.seed);
-    const day::Report report = simulated ? cli::play_virtual_day(loaded.day, day_seed, options)
-                                         : cli::play_day(loaded.day, day_seed, options);
-    std::cout << report.table();
-    return report.good() ? 0 : 1;
+    const std::uint64_t day_seed = seed.value_or(loaded.scenario.seed);
+    const day::Report report = simulated ? cli::play_virtual_day(loaded.scenario, day_seed, options)
+                                         : cli::play_day(loaded.scenario, day_seed, options);
+    std::cout << report.format_table();
+    return report.has_passed() ? 0 : 1;
 }
 
 // Runs a stand-in media node, alone on its rack, until SIGINT or SIGTERM.
@@ -115,18 +115,18 @@
     io::EvLoop loop(io::system_seed());
     fleet::FleetSpec spec;
     spec.rack_kb = {1e12};
-    spec.refuses_from = 1;
+    spec.full_utilization = 1;
     fleet::Fleet fleet(spec);
-    const int fleet_index = fleet.add({0, link_kb, streams});
-    standins::Node stand_in(loop, fleet, fleet_index, settings, [](const standins::Tap& tap) {
+    const int fleet_index = fleet.add_node({0, link_kb, streams});
+    standins::NodeEmulator stand_in(loop, fleet, fleet_index, settings, [](const standins::SocketEvent& tap) {
         std::cout << nlohmann::ordered_json{{"at", tap.at},
-                                            {"what", tap.what},
+                                            {"what", tap.type},
                                             {"director", tap.director},
                                             {"session", tap.session},
                                             {"attempt", tap.attempt},
                                             {"sid", tap.sid},
                                             {"status", tap.status},
-                                            {"answer", tap.answer}}
+                                            {"answer", tap.outcome}}
                          .dump()
                   << std::endl;
     });
@@ -142,18 +142,18 @@
 int run_list(const std::string& listen, const std::string& service, const std::vector<std::string>& nodes) {
     ::signal(SIGPIPE, SIG_IGN);
     io::EvLoop loop(io::system_seed());
-    standins::List server_list(loop, io::Address::parse(listen), service, {});
+    standins::ServerListEmulator server_list(loop, io::Address::parse(listen), service, {});
     int position = 0;
     for (const std::string& text : nodes) {
         const std::size_t equals_sign = text.find('='), at_sign = text.rfind('@');
         if (equals_sign == std::string::npos || at_sign == std::string::npos || at_sign < equals_sign)
             throw std::invalid_argument("\"" + text + "\": expected ID=ADDRESS:PORT@KIND");
-        standins::Listed entry;
+        standins::ListedServer entry;
         entry.id = text.substr(0, equals_sign);
         entry.address = io::Address::parse(text.substr(equals_sign + 1, at_sign - equals_sign - 1));
         entry.kind = text.substr(at_sign + 1);
         entry.position = position++;
-        server_list.set(entry);
+        server_list.set_server(entry);
     }
     std::cerr << "list at " << server_list.address().text() << "\n";
     for (const int signal : {SIGINT, SIGTERM}) loop.on_signal(signal, [&] { loop.stop(); });
@@ -162,22 +162,23 @@
 }
 
 // Plays one session as a viewer and prints each event. Returns 1 if it did not start to play.
-int play_session(const std::string& director, standins::ViewerSettings settings) {
+int play_session(const std::string& director, standins::PlayerSettings settings) {
     ::signal(SIGPIPE, SIG_IGN);
     io::EvLoop loop(io::system_seed());
     http::Client client(loop, {});
     const io::Address address = io::Address::parse(director);
     bool started = false;
-    standins::Viewer viewer(
+    standins::PlayerEmulator viewer(
         loop, client, settings, [&] { return std::make_pair(std::string("director"), address); },
-        [&](const standins::Tap& tap) {
-            std::cout << std::llround(loop.now()) << " " << tap.what << (tap.answer.empty() ? "" : " ")
-                      << tap.answer << std::endl;
+        [&](const standins::SocketEvent& tap) {
+            std::cout << std::llround(loop.now()) << " " << tap.type << (tap.outcome.empty() ? "" : " ")
+                      << tap.outcome << std::endl;
         },
-        [&](const standins::ViewerResult& result) {
+        [&](const standins::PlayerResult& result) {
             started = result.started;
             std::cout << (result.started ? "played" : "did not play") << " after " << result.tries
-                      << " tries, worth " << result.earned << " of " << result.offered << std::endl;
+                      << " tries, worth " << result.earned_worth << " of " << result.offered_worth
+                      << std::endl;
             loop.stop();
         });
     loop.run();
@@ -255,7 +256,7 @@
     node_command->add_option("--rungs-kb", node_settings.rung_kb, "rates of the ladder's rungs, kB a second")
         ->delimiter(',');
     node_command->add_option(
-        "--media", node_settings.media,
+        "--media", node_settings.media_folder,
         "serve the media in this folder: for each rung RUNG/index.m3u8 and its segments, and\n"
         "master.m3u8 if it gives codecs and sizes");
     node_command
@@ -279,10 +280,10 @@
     list_command->add_option("instances", instances, "ID=ADDRESS:PORT@KIND")->required();
     list_command->callback([&] { exit_code = run_list(listen, service, instances); });
     std::string director = "127.0.0.1:8080";
-    ivyfield::standins::ViewerSettings viewer;
+    ivyfield::standins::PlayerSettings viewer;
     viewer.rung_kb = node_settings.rung_kb;
     viewer.rung_worth = {0.16, 0.4, 0.61, 0.81, 1.0};
-    viewer.top = 4;
+    viewer.max_rung = 4;
     viewer.name = "viewer";
     CLI::App* play_command = app.add_subcommand("play",
                                                 "Play one session as a viewer and print each event.\n"
@@ -293,7 +294,7 @@
     play_command->add_option("--class", viewer.cls)->required();
     play_command->add_option("--title", viewer.title)->required();
     play_command->add_option("--sid", viewer.sid, "CMCD's sid")->default_val("one-viewer");
-    play_command->add_option("--length-ms", viewer.length)->default_val(10000);
+    play_command->add_option("--length-ms", viewer.watch_duration)->default_val(10000);
     play_command->callback([&] { exit_code = play_session(director, viewer); });
 
     CLI::App* hints =
--- a/tests/audit/audit_test.cpp
+++ b/tests/audit/audit_test.cpp
@@ -1,46 +1,48 @@
-// The audit must be able to fail: for each rule, traffic of a director that breaks it, and the same traffic
-// kept.
+// The audit has to detect violations: each rule is checked with recorded traffic that breaks it and with the
+// same traffic changed so that it complies.
 #include "audit/audit.hpp"
 
 #include <gtest/gtest.h>
 
 using namespace ivyfield::audit;
-using ivyfield::standins::Tap;
+using ivyfield::standins::SocketEvent;
 
 namespace {
 
 struct Traffic {
-    std::vector<Tap> taps;
-    Terms terms;
+    std::vector<SocketEvent> taps;
+    RuleLimits terms;
     std::vector<Outage> outages;
     Traffic() {
         terms.classes["paid"] = {true, 0, 0, 5000};
         terms.classes["free"] = {false, 1, 2, 5000};
-        terms.budget = true, terms.budget_free = 1, terms.budget_per_request = 0.5,
-        terms.budget_window = 10000;
+        terms.has_retry_budget = true, terms.free_retries = 1, terms.retries_per_request = 0.5,
+        terms.retry_window = 10000;
     }
-    Tap& add(double at, const std::string& what, const std::string& where, const std::string& cls = "paid") {
-        Tap t;
-        t.at = at, t.what = what, t.where = where, t.cls = cls, t.director = "d0", t.sid = "s", t.title = "t";
+    SocketEvent& add(double at, const std::string& what, const std::string& where,
+                     const std::string& cls = "paid") {
+        SocketEvent t;
+        t.at = at, t.type = what, t.source = where, t.cls = cls, t.director = "d0", t.sid = "s",
+        t.title = "t";
         t.session = 1, t.rung = 2;
         taps.push_back(t);
         return taps.back();
     }
     void answer(double at, const std::string& who, int status, const std::string& cls = "paid") {
-        Tap& t = add(at, "answer", who, cls);
+        SocketEvent& t = add(at, "answer", who, cls);
         t.status = status;
-        t.answer = status == 200 ? "plays" : status == 503 ? "refused" : "failed";
+        t.outcome = status == 200 ? "plays" : status == 503 ? "refused" : "failed";
     }
     void over(double at, const std::string& node, int attempt, int status, const char* how,
               const std::string& cls = "paid") {
-        Tap& t = add(at, "setup_over", node, cls);
-        t.attempt = attempt, t.status = status, t.answer = how;
+        SocketEvent& t = add(at, "setup_over", node, cls);
+        t.attempt = attempt, t.status = status, t.outcome = how;
     }
     std::vector<int> broken() {
         std::vector<int> out;
-        const Verdict v = judge(taps, terms, outages);
+        const AuditResult v = check_rules(taps, terms, outages);
         for (int rule = 1; rule <= 6; ++rule)
-            if (!v.kept(rule)) out.push_back(rule);
+            if (!v.is_kept(rule)) out.push_back(rule);
         return out;
     }
 };
@@ -76,7 +78,7 @@
     odd.answer(10, "v", 500);
     EXPECT_EQ(odd.broken(), Rules{1});
 }
-TEST(Audit, Rule1TheSecondOfTwoAlikeRequests) {
+TEST(Audit, Rule1DuplicateRequestsNeedAnAnswerOfTheirOwn) {
     Traffic t;
     t.add(0, "ask_again", "v");
     t.add(10, "answer_again", "v").status = 200;
@@ -85,21 +87,21 @@
     EXPECT_EQ(t.broken(), Rules{1});
     t.taps[1].status = 504, t.taps[1].at = 5300;
     EXPECT_EQ(t.broken(), Rules{1});
-    t.taps[1].what = "left_again";
+    t.taps[1].type = "left_again";
     EXPECT_EQ(t.broken(), Rules{}) << "its player closed it";
-    t.taps[1].what = "gave_up_again";
+    t.taps[1].type = "gave_up_again";
     EXPECT_EQ(t.broken(), Rules{1});
     t.taps.pop_back();
     EXPECT_EQ(t.broken(), Rules{1}) << "never answered";
 }
-TEST(Audit, Rule6EachLifeOfADirectorCountsFromItsStart) {
+TEST(Audit, Rule6EachIncarnationOfADirectorCountsFromItsStart) {
     Traffic t;
     for (int k = 0; k < 2; ++k) t.add(k * 100, "setup", "n0", "free").attempt = 1;
     EXPECT_EQ(t.broken(), Rules{6});
     t.outages = {{"d0", 50, 60, true}};
     EXPECT_EQ(t.broken(), Rules{});
 }
-TEST(Audit, Rule2PaidSentAgainThoughItMayHaveRun) {
+TEST(Audit, Rule2NonIdempotentSetupRetriedThoughItMayHaveRun) {
     Traffic t;
     t.add(0, "ask", "v");
     t.add(10, "setup", "n0");
@@ -108,10 +110,10 @@
     t.over(600, "n1", 1, 200, "started");
     t.answer(610, "v", 200);
     EXPECT_EQ(t.broken(), Rules{2});
-    t.taps[2].answer = "full";
+    t.taps[2].outcome = "full";
     EXPECT_EQ(t.broken(), Rules{}) << "full proves that it never ran";
 }
-TEST(Audit, Rule2PaidRefusedThoughItMayHaveRun) {
+TEST(Audit, Rule2NonIdempotentSetupRejectedThoughItMayHaveRun) {
     Traffic t;
     t.add(0, "ask", "v");
     t.add(10, "setup", "n0");
@@ -126,14 +128,14 @@
     t.add(0, "ask", "v");
     t.add(10, "setup", "n0");
     t.over(20, "n0", 0, 503, "full");
-    t.add(30, "ran", "n0");  // it said full and ran all the same
+    t.add(30, "ran", "n0");  // answered full but ran all the same
     t.add(40, "setup", "n1").attempt = 1;
     t.add(50, "ran", "n1").attempt = 1;
     t.over(50, "n1", 1, 200, "started");
     t.answer(60, "v", 200);
     EXPECT_EQ(t.broken(), Rules{2});
 }
-TEST(Audit, Rule2TwoAttemptsOutAtOnce) {
+TEST(Audit, Rule2TwoAttemptsPendingAtOnce) {
     Traffic t;
     t.add(0, "ask", "v", "free");
     t.add(10, "setup", "n0", "free");
@@ -142,33 +144,33 @@
     t.over(2100, "n1", 1, 200, "started", "free");
     t.answer(2110, "v", 200, "free");
     EXPECT_EQ(t.broken(), Rules{2});
-    t.taps[3].at = 310;  // its word to the first node was on the way
+    t.taps[3].at = 310;  // the cancellation was still on its way to the first node
     EXPECT_EQ(t.broken(), Rules{});
 }
 TEST(Audit, Rule3SentToADrainedOrVanishedNode) {
     for (const char* list : {"n0=draining n1=ready", "n0=gone n1=ready", "n1=ready"}) {
         Traffic t;
-        t.add(0, "list_sent", "list").text = "n0=ready n1=ready";
-        t.add(100, "list_sent", "list").text = list;
+        t.add(0, "list_sent", "list").details = "n0=ready n1=ready";
+        t.add(100, "list_sent", "list").details = list;
         t.add(500, "setup", "n0");
         EXPECT_EQ(t.broken(), Rules{}) << "within the grace";
         t.add(700, "setup", "n0").session = 2;
         EXPECT_EQ(t.broken(), Rules{3}) << list;
     }
     Traffic back;
-    back.add(0, "list_sent", "list").text = "n0=draining";
-    back.add(100, "list_sent", "list").text = "n0=ready";
+    back.add(0, "list_sent", "list").details = "n0=draining";
+    back.add(100, "list_sent", "list").details = "n0=ready";
     back.add(900, "setup", "n0");
     EXPECT_EQ(back.broken(), Rules{});
 }
-TEST(Audit, Rule4ANodePushedOver) {
+TEST(Audit, Rule4AColdNodeOverloaded) {
     Traffic t;
-    t.add(0, "node_start", "n0").answer = "cold";
+    t.add(0, "node_start", "n0").outcome = "cold";
     EXPECT_EQ(t.broken(), Rules{});
     t.add(10, "node_fell", "n0");
     EXPECT_EQ(t.broken(), Rules{4});
 }
-TEST(Audit, Rule5FloorsAndSeats) {
+TEST(Audit, Rule5MinimumRungsAndSeats) {
     Traffic floor, seats;
     floor.add(0, "setup", "n0", "free").rung = 0;
     EXPECT_EQ(floor.broken(), Rules{5});
@@ -193,11 +195,11 @@
         t.over(6, "n0", 0, 0, how, "free");
         t.add(7, "setup", "n1", "free").session = 3;
         EXPECT_EQ(t.broken(), std::string(how) == "error" ? Rules{} : Rules{5});
-        Traffic let_go = t;
-        let_go.taps.pop_back();
-        let_go.add(7, "cancel", "n0", "free");
-        let_go.add(8, "setup", "n1", "free").session = 3;
-        EXPECT_EQ(let_go.broken(), Rules{});
+        Traffic released = t;
+        released.taps.pop_back();
+        released.add(7, "cancel", "n0", "free");
+        released.add(8, "setup", "n1", "free").session = 3;
+        EXPECT_EQ(released.broken(), Rules{});
         Traffic down = t;
         down.taps.pop_back();
         down.add(7, "node_down", "n0");
@@ -205,7 +207,7 @@
             down.add(8, "setup", "n1", "free").session = static_cast<std::uint64_t>(k);
         EXPECT_EQ(down.broken(), Rules{});
     }
-    // Not hung: a set-up whose connection closed before it was done is not done.
+    // Without a hang, a set-up whose connection closes before it has run does not run.
     Traffic t;
     for (int k = 1; k <= 2; ++k) t.add(k, "setup", "n0", "free").session = static_cast<std::uint64_t>(k);
     t.over(6, "n0", 0, 0, "gone", "free");
@@ -219,18 +221,18 @@
         t.answer(k + 0.5, "v" + std::to_string(k), 504, "free");
     }
     const auto again = [&t](double at, std::uint64_t session) {
-        Tap& s = t.add(at, "setup", "n0", "free");
+        SocketEvent& s = t.add(at, "setup", "n0", "free");
         s.session = session, s.attempt = 1, s.title = "t" + std::to_string(session);
         t.over(at + 1, "n0", 1, 500, "error", "free");
         t.taps.back().session = session;
     };
     for (std::uint64_t k = 0; k < 3; ++k) again(100.0 * static_cast<double>(k + 1), k + 10);
-    EXPECT_EQ(t.broken(), Rules{}) << "one free and half of four";
+    EXPECT_EQ(t.broken(), Rules{}) << "one free retry and half of four requests";
     again(500, 20);
     EXPECT_EQ(t.broken(), Rules{6});
     t.taps.resize(t.taps.size() - 2);
     again(10200, 20);
-    EXPECT_EQ(t.broken(), Rules{6}) << "the requests are past as well";
+    EXPECT_EQ(t.broken(), Rules{6}) << "the requests have left the window too";
 }
 
 }  // namespace
--- a/tests/nodes/client_test.cpp
+++ b/tests/nodes/client_test.cpp
@@ -38,7 +38,7 @@
         s.rack_kb.assign(kNodes, 1e9);
         return s;
     }()};
-    std::vector<std::unique_ptr<standins::Node>> nodes;
+    std::vector<std::unique_ptr<standins::NodeEmulator>> nodes;
     std::map<ServerId, io::Address> listed;
     Settings settings;
     RecordingEvents events;
@@ -55,9 +55,9 @@
             s.name = "n" + std::to_string(k);
             s.rung_kb = {100};
             s.classes = {{"c", 1, false}};
-            s.idle = 1e9;
-            nodes.push_back(std::make_unique<standins::Node>(node_loop, fleet, fleet.add({k, 1e6, 1000}), s,
-                                                             standins::TapSink{}));
+            s.idle_timeout = 1e9;
+            nodes.push_back(std::make_unique<standins::NodeEmulator>(
+                node_loop, fleet, fleet.add_node({k, 1e6, 1000}), s, standins::EventSink{}));
             nodes.back()->start(true);
             listed[static_cast<ServerId>(k)] = nodes.back()->address();
         }
@@ -153,16 +153,16 @@
     EXPECT_EQ(events.ended_count + events.lost_count, 0);
 }
 TEST_F(ManyNodes, SessionsOfASilentNodeAreUnreleasedUntilItAnswers) {
-    nodes[0]->hang(true);
+    nodes[0]->set_hung(true);
     run(60000);
     EXPECT_EQ(events.lost_count, kSessionsPerNode);
     EXPECT_EQ(client->unreleased_count(), std::size_t(kSessionsPerNode));
     EXPECT_EQ(events.released_count, 0);
-    nodes[0]->hang(false);
+    nodes[0]->set_hung(false);
     run(10000);
     EXPECT_EQ(events.released_count, kSessionsPerNode);
     EXPECT_EQ(client->unreleased_count(), 0u);
-    EXPECT_EQ(nodes[0]->sessions(), 0u) << "they must end there: their viewers were told so";
+    EXPECT_EQ(nodes[0]->session_count(), 0u) << "they must end there: their viewers were told so";
 }
 TEST_F(ManyNodes, ANodeOfAnEarlierProtocolIsReportedAndGetsNoSetUps) {
     http::Server old(node_loop, {"127.0.0.1", 7000}, {}, [](const http::ExchangePtr& e) {
