--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -1,5 +1,5 @@
-// The clients of one director: they hold connections open, send set-ups on them at random moments until the
-// process is gone, give some up, and send again, once, what crossed a close.
+// The clients of one director. They keep connections open, send set-ups on them at random times until the
+// process has ended, cancel some, and resend once what crossed the close of a connection.
 #pragma once
 
 #include <list>
@@ -33,18 +33,18 @@
           settings_(settings),
           lateness_(std::move(lateness)) {}
 
-    // The front takes the director in: connections are opened, and opened anew where one closes.
+    // The director is in service: connections are opened, and replaced when one closes.
     void begin() {
-        taking_ = true;
+        accepting_connections_ = true;
         sending_ = true;
         fill();
     }
     // No new connections from now on; those that are open are used until they end.
-    void no_new_connections() { taking_ = false; }
+    void no_new_connections() { accepting_connections_ = false; }
     void no_new_requests() { sending_ = false; }
-    // The process is gone: what it left unanswered has been judged by the close of each connection.
+    // The process has ended; its unanswered requests were checked when their connections closed.
     void forget_connections() {
-        taking_ = sending_ = false;
+        accepting_connections_ = sending_ = false;
         links_.remove_if([](const auto& link) { return !link->stream; });
     }
     std::size_t open_connections() const {
@@ -60,7 +60,7 @@
         relay::LineDecoder decoder;
         std::set<RequestId> pending;
         std::uint64_t number = 0;
-        std::string first_line;  // of a request sent again, to be written when the connection is there
+        std::string first_line;  // a resent request, written once the connection is open
         bool up = false;
         io::Timer next;
         explicit Link(ClientPool& o) : owner(o) {}
@@ -68,7 +68,7 @@
         void on_data(std::string_view bytes) override {
             while (!bytes.empty()) {
                 const auto line = decoder.next(bytes);
-                if (line) owner.heard(*this, *line);
+                if (line) owner.handle_line(*this, *line);
                 else if (decoder.too_long()) return owner.ledger_.fault("a line without end");
             }
         }
@@ -83,13 +83,14 @@
     Time between(Time least, Time most) { return std::uniform_real_distribution<Time>(least, most)(random_); }
 
     void fill() {
-        while (taking_ && open_connections() < static_cast<std::size_t>(settings_.connections)) dial("");
+        while (accepting_connections_ && open_connections() < static_cast<std::size_t>(settings_.connections))
+            dial("");
     }
     Link& dial(const std::string& first_line) {
         links_.remove_if([](const auto& link) { return !link->stream; });
         links_.push_back(std::make_shared<Link>(*this));
         Link& link = *links_.back();
-        link.number = ++dialled_;
+        link.number = ++connection_count_;
         link.first_line = first_line;
         link.stream = loop_.dial(director_.address(), kDialTimeout, &link);
         return link;
@@ -126,14 +127,14 @@
         if (chance() >= settings_.cancels) return;
         keep(loop_.after(between(1, 60), [this, id = request.id] { cancel(id); }));
     }
-    // Gives the set-up up, on its own connection.
+    // Cancels the set-up on its own connection.
     void cancel(RequestId id) {
         Request* request = ledger_.find(id);
         if (!request || request->reply != Reply::none) return;
         for (const auto& link : links_) {
             if (!link->stream || !link->pending.erase(id)) continue;
             request->cancelled = loop_.now();
-            ledger_.word(id, "cancelled on connection " + std::to_string(link->number), loop_.now());
+            ledger_.add_history(id, "cancelled on connection " + std::to_string(link->number), loop_.now());
             link->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
             return;
         }
@@ -145,24 +146,25 @@
         for (const auto& link : links_) {
             if (!link->stream || !link->up) continue;
             request->hung_up = true;
-            ledger_.word(id, "hung up on connection " + std::to_string(link->number), loop_.now());
+            ledger_.add_history(id, "hung up on connection " + std::to_string(link->number), loop_.now());
             link->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
             return;
         }
     }
 
-    void heard(Link& link, const std::string& text) {
+    void handle_line(Link& link, const std::string& text) {
         const auto read = relay::read_line(text);
         const auto* message = std::get_if<ViewerMessage>(&read);
         if (!message) return ledger_.fault("a client received what can't be read: " + text);
         Request* request = ledger_.find(message->session);
         if (message->type == relay::Type::released || message->type == relay::Type::pong) return;
-        ledger_.word(message->session,
-                     std::string(relay::name(message->type)) + " " +
-                         std::to_string(message->cause.value_or(0)) + " on connection " +
-                         std::to_string(link.number),
-                     loop_.now());
-        if (!request) return ledger_.fault("a client received a word on what it never asked: " + text);
+        ledger_.add_history(message->session,
+                            std::string(relay::name(message->type)) + " " +
+                                std::to_string(message->cause.value_or(0)) + " on connection " +
+                                std::to_string(link.number),
+                            loop_.now());
+        if (!request)
+            return ledger_.fault("a client received a message for a request it never sent: " + text);
         const bool open = request->reply == Reply::none;
         if (message->type == relay::Type::answer) {
             link.pending.erase(message->session);
@@ -181,7 +183,7 @@
         request->notified = loop_.now();
     }
 
-    // The connection is over; what is pending on it crossed the close, or is lost.
+    // Requests pending on a closed connection either crossed the close or are lost.
     void closed(Link& link) {
         if (!link.stream) return;
         link.next.stop();
@@ -189,10 +191,10 @@
         loop_.post([keep = std::shared_ptr<io::Stream>(std::move(link.stream))] {});
         const auto pending = std::move(link.pending);
         link.pending.clear();
-        for (const RequestId id : pending) judge_close(link, id);
+        for (const RequestId id : pending) check_unanswered(link, id);
         loop_.post([this] { fill(); });
     }
-    void judge_close(const Link& link, RequestId id) {
+    void check_unanswered(const Link& link, RequestId id) {
         Request& request = *ledger_.find(id);
         if (request.cancelled || request.reply != Reply::none) return;
         if (director_.killed() && request.incarnation == director_.incarnation()) {
@@ -206,7 +208,8 @@
                                 "its connection closed unanswered after " + std::to_string(ago) + " ms",
                                 loop_.now());
         request.resent = true;
-        ledger_.word(id, "connection " + std::to_string(link.number) + " closed, sent again", loop_.now());
+        ledger_.add_history(id, "connection " + std::to_string(link.number) + " closed, sent again",
+                            loop_.now());
         request.sent = loop_.now();
         dial(line_of(request)).pending.insert(id);
     }
@@ -227,8 +230,8 @@
     std::function<Time()> lateness_;
     std::list<std::shared_ptr<Link>> links_;
     std::list<io::Timer> timers_;
-    std::uint64_t dialled_ = 0;
-    bool taking_ = false, sending_ = false;
+    std::uint64_t connection_count_ = 0;
+    bool accepting_connections_ = false, sending_ = false;
 };
 
 }  // namespace ivyfield::soak
--- a/tests/soak/director.hpp
+++ b/tests/soak/director.hpp
@@ -1,5 +1,5 @@
-// One director as the platform runs it: a process of its own, signalled, killed at its deadline, started
-// again under the same name and address.
+// Runs one director as the platform does: a process of its own that is signalled, killed at its deadline and
+// restarted under the same name and address.
 #pragma once
 
 #include <signal.h>
@@ -56,12 +56,12 @@
         child_->signal(SIGTERM);
     }
     void stall(bool on) { child_->stall(on); }
-    // As at a crash of its machine: nothing is said.
+    // As in a crash of its machine, without any notice.
     void kill_outright() {
         killed_ = true;
         child_->kill();
     }
-    // Looks whether it has left, and kills it at its deadline. True once it is gone.
+    // Returns true once the process has ended; kills it at its deadline.
     bool gone() {
         if (running()) {
             if (!term_at_ || loop_.now() < *term_at_ + kKillAfterTerm) return false;
@@ -72,7 +72,7 @@
             ledger_.fault("crash: director " + std::to_string(index_) + " ended with code " +
                           std::to_string(child_->exit_code()));
         if (!killed_ && !term_at_)
-            ledger_.fault("crash: director " + std::to_string(index_) + " ended unasked");
+            ledger_.fault("crash: director " + std::to_string(index_) + " ended without a signal");
         return true;
     }
 
--- a/tests/soak/ledger.hpp
+++ b/tests/soak/ledger.hpp
@@ -1,6 +1,5 @@
-// What clients asked and heard, what media nodes received, and the verdict on it: the judge of a soak. It
-// knows the platform's protocol and nothing of the director's code. Times are milliseconds on the harness's
-// clock.
+// Records what clients sent and received and what media nodes received, and checks it against the platform's
+// protocol. Shares no code with the director. Times are milliseconds on the harness's clock.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +17,21 @@
 using RequestId = std::uint64_t;
 
 // Figures of the platform's protocol.
-constexpr Time kSlack = 50;           // on every time limit
-constexpr Time kCloseCrossing = 50;   // a request that crosses a close within this is sent again, once
-constexpr Time kLateAnswer = 500;     // after its time an answer earns nothing; later it is lost
-constexpr Time kForwardedLate = 100;  // nothing is forwarded so long after the request's end
-constexpr Time kNotifyBound = 1000;   // a terminated session is notified within this of its node's word
-constexpr Time kUntoldBound = 8000;   // and within this of its end where its node could send none
+constexpr Time kSlack = 50;  // tolerance on every time limit
+// A request that crosses the close of its connection within this is sent again, once.
+constexpr Time kCloseCrossing = 50;
+// An answer after the request's deadline earns nothing; later than this after it, the request counts as lost.
+constexpr Time kLateAnswer = 500;
+constexpr Time kForwardedLate = 100;  // nothing is forwarded this long after the request's end
+// The client of a terminated session is notified within kNotifyBound of its node's message about the end, or
+// within kUnreportedEndBound of the end itself if the node could not send one.
+constexpr Time kNotifyBound = 1000;
+constexpr Time kUnreportedEndBound = 8000;
 
 enum class RequestClass { paid, repeatable };
 enum class Reply { none, established, rejected, failed };
 
-// One request of a client, over both of its sendings where it is sent again.
+// One request of a client, including its second transmission if it is sent again.
 struct Request {
     RequestId id = 0;
     RequestClass cls = RequestClass::paid;
@@ -43,16 +46,16 @@
     Time replied = 0;
     int replies = 0;
     bool hung_up = false;
-    std::optional<Time> terminated;  // a media node ended the session, and its client is owed the word
-    std::optional<Time> told;        // when the node could send its word of that end
+    std::optional<Time> terminated;  // a media node ended the session; its client has to be notified
+    std::optional<Time> told;        // when the node sent its message about that end
     std::optional<Time> notified;
-    std::optional<Time> over;        // when the process that took it ended
-    std::vector<std::string> words;  // what was said on it, with times since it was sent
+    std::optional<Time> over;          // when the process that received it ended
+    std::vector<std::string> history;  // with times since the request was sent
 };
 
-enum class AttemptEnd { open, answered, proved_unrun, unknown };
+enum class AttemptEnd { open, answered, never_ran, unknown };
 
-// One set-up as a media node received it.
+// One set-up that a media node received.
 struct Attempt {
     std::string node;
     Time received = 0;
@@ -60,6 +63,7 @@
     Time ended = 0;
 };
 
+// All requests and attempts of a run, and the faults found in them.
 class Ledger {
   public:
     Request& add(Request request) { return requests_[request.id] = request; }
@@ -67,9 +71,9 @@
         const auto it = requests_.find(id);
         return it == requests_.end() ? nullptr : &it->second;
     }
-    void word(RequestId id, const std::string& what, Time now) {
+    void add_history(RequestId id, const std::string& what, Time now) {
         Request* request = find(id);
-        if (request) request->words.push_back("+" + std::to_string(now - request->sent) + " " + what);
+        if (request) request->history.push_back("+" + std::to_string(now - request->sent) + " " + what);
     }
     void fault(const std::string& what) { faults_.push_back(what); }
     void lost(const Request& request, const std::string& why, Time now) {
@@ -79,7 +83,7 @@
         text << "lost: request " << std::hex << request.id << std::dec << " of director " << request.director
              << " (incarnation " << request.incarnation << "), sent at " << request.sent << ", " << why
              << " at " << now;
-        for (const std::string& word : request.words) text << "; " << word;
+        for (const std::string& entry : request.history) text << "; " << entry;
         faults_.push_back(text.str());
     }
 
@@ -94,15 +98,15 @@
             lost(*request, "answered long after its time", now);
     }
 
-    // `earliest`: when it may have been sent; a node that hung reads late what came meanwhile.
+    // `earliest`: when it may have arrived; a node that hung reads late what arrived in the meantime.
     Attempt& received(RequestId id, const std::string& node, Time now, Time earliest) {
         Request* request = find(id);
         auto& attempts = attempts_[id];
-        word(id, "received by " + node + (earliest < now ? " after a hang" : ""), now);
+        add_history(id, "received by " + node + (earliest < now ? " after a hang" : ""), now);
         if (!request) {
             fault("node " + node + " received a set-up that no client sent: " + std::to_string(id));
         } else {
-            judge_forward(*request, attempts, earliest);
+            check_forwarded(*request, attempts, earliest);
         }
         attempts.push_back({node, now, AttemptEnd::open, 0});
         return attempts.back();
@@ -114,11 +118,11 @@
             it->end = end;
             it->ended = now;
             static const char* const names[] = {"open", "answered", "turned away", "over"};
-            return word(id, std::string(names[static_cast<int>(end)]) + " at " + node, now);
+            return add_history(id, std::string(names[static_cast<int>(end)]) + " at " + node, now);
         }
     }
 
-    // The process of that incarnation has ended, and with it what it knew of its sessions.
+    // The process of that incarnation has ended and has lost its sessions.
     void incarnation_over(int director, int incarnation, Time now) {
         for (auto& [id, request] : requests_) {
             if (request.director != director || request.incarnation != incarnation) continue;
@@ -126,7 +130,7 @@
         }
     }
 
-    // What is still open when nothing more can come.
+    // Reports what is still open once nothing more can arrive.
     void close(Time now) {
         for (const auto& [id, request] : requests_) {
             if (request.reply == Reply::none && !request.cancelled) lost(request, "never answered", now);
@@ -154,16 +158,16 @@
     // The protocol: within 1 s of the node's release, or within 8 s of the end where none could be sent.
     static Time notify_by(const Request& request) {
         if (request.told) return *request.told + kNotifyBound + kSlack;
-        return *request.terminated + kUntoldBound;
+        return *request.terminated + kUnreportedEndBound;
     }
-    void judge_forward(const Request& request, const std::vector<Attempt>& attempts, Time now) {
+    void check_forwarded(const Request& request, const std::vector<Attempt>& attempts, Time now) {
         if (request.cancelled && now > *request.cancelled + kForwardedLate + kSlack)
             lost(request, "forwarded after it was cancelled", now);
         if (request.reply != Reply::none && now > request.replied + kForwardedLate + kSlack)
             lost(request, "forwarded after its answer", now);
         if (request.cls != RequestClass::paid || request.resent) return;
         for (const Attempt& attempt : attempts)
-            if (attempt.end != AttemptEnd::proved_unrun)
+            if (attempt.end != AttemptEnd::never_ran)
                 fault("duplicate: paid request " + std::to_string(request.id) + " set up at " + attempt.node +
                       " and again");
     }
--- a/tests/soak/media_node.hpp
+++ b/tests/soak/media_node.hpp
@@ -1,5 +1,5 @@
-// An emulator of a media node on the platform's binary protocol: answers, turns away, fails, resets, goes
-// silent, and ends what it plays, as a seeded source of randomness has it.
+// Emulator of a media node on the platform's binary protocol. A seeded random source decides whether it
+// answers, rejects, fails, resets the connection or stays silent, and when it ends a session.
 #pragma once
 
 #include <list>
@@ -15,7 +15,7 @@
 using relay::NodeMessage;
 using relay::Type;
 
-// Chances of what a node does with a set-up; the rest is answered.
+// Probabilities of what a node does with a set-up; the others are answered.
 struct NodeBehaviour {
     double full = 0.05, error = 0.03, reset = 0.02, silent = 0.02;
     double ends_at_once = 0.05;       // answer and end of the session in one write
@@ -26,7 +26,8 @@
 
 class MediaNode {
   public:
-    // Each director reaches it at an address of its own, so that the node knows whose connection one is.
+    // Each director gets an address of its own, so that the node knows which director a connection belongs
+    // to.
     MediaNode(io::Loop& loop, std::string name, int directors, std::uint64_t seed, Ledger& ledger)
         : loop_(loop), name_(std::move(name)), random_(seed), ledger_(ledger) {
         for (int k = 0; k < directors; ++k)
@@ -39,9 +40,9 @@
     std::size_t playing() const { return sessions_.size(); }
     NodeBehaviour behaviour;
 
-    // Reads nothing and sends nothing for a while, as a process that hangs.
+    // Reads and sends nothing for a while, like a hung process.
     void hang(Time duration) {
-        // One that follows at once is the same hang: nothing was read in between.
+        // A hang that follows at once continues the previous one: nothing was read in between.
         if (!hanging_ && loop_.now() > hang_ended_ + kCatchUp) hang_began_ = loop_.now();
         hanging_ = true;
         for (const auto& link : links_)
@@ -56,7 +57,7 @@
             for (const auto& task : waiting) task();
         });
     }
-    // Every connection is reset, as by a middlebox; sessions play on.
+    // Resets every connection, as a middlebox does; the sessions continue.
     void reset_connections() {
         for (const auto& link : links_) link->drop();
     }
@@ -75,7 +76,7 @@
                 if (!result) return;
                 const auto* message = std::get_if<NodeMessage>(&*result);
                 if (!message) return owner.ledger_.fault("node " + owner.name_ + " received no message");
-                owner.take(*this, *message);
+                owner.handle_message(*this, *message);
             }
         }
         void on_end() override {
@@ -101,7 +102,7 @@
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
     Time between(Time least, Time most) { return std::uniform_real_distribution<Time>(least, most)(random_); }
 
-    struct Untold {
+    struct UnreportedEnd {
         RequestId id;
         int cause;
         int director;
@@ -114,8 +115,8 @@
         link->stream->set_handler(link.get());
         if (hanging_) link->stream->pause();
         links_.push_back(link);
-        // An end is told on the next connection too: the one that it was told on may have broken.
-        for (auto it = untold_.begin(); it != untold_.end();) {
+        // An end is reported on the next connection too: the one it was reported on may have broken.
+        for (auto it = unreported_ends_.begin(); it != unreported_ends_.end();) {
             if (it->director != director) {
                 ++it;
                 continue;
@@ -123,10 +124,10 @@
             send(*link, Type::release, it->id, it->cause);
             if (Request* request = ledger_.find(it->id); request && !request->told)
                 request->told = loop_.now();
-            it = untold_.erase(it);
+            it = unreported_ends_.erase(it);
         }
     }
-    void when_awake(std::function<void()> task) {
+    void run_unless_hung(std::function<void()> task) {
         if (hanging_) waiting_.push_back(std::move(task));
         else task();
     }
@@ -140,12 +141,12 @@
         link.stream->write(relay::write_frame(message));
     }
 
-    void take(Link& link, const NodeMessage& message) {
+    void handle_message(Link& link, const NodeMessage& message) {
         switch (message.type) {
             case Type::setup:
-                return take_set_up(link, message);
+                return handle_setup(link, message);
             case Type::release:
-                return take_release(link, message.session);
+                return handle_release(link, message.session);
             case Type::move:
                 sessions_.erase(message.session);
                 return;
@@ -163,12 +164,12 @@
         }
     }
 
-    void take_release(Link& link, RequestId id) {
+    void handle_release(Link& link, RequestId id) {
         if (link.open.erase(id)) ledger_.attempt_ended(id, name_, AttemptEnd::unknown, loop_.now());
         sessions_.erase(id);
     }
 
-    void take_set_up(Link& link, const NodeMessage& message) {
+    void handle_setup(Link& link, const NodeMessage& message) {
         const RequestId id = message.session;
         const bool read_late = loop_.now() < hang_ended_ + kCatchUp;
         ledger_.received(id, name_, loop_.now(), read_late ? hang_began_ : loop_.now());
@@ -183,18 +184,19 @@
         const std::string* offer = message.find(relay::Code::sdp);
         const std::string answer = "answer to " + (offer ? *offer : "nothing");
         timers_.push_back(loop_.after(when, [this, weak, id, drawn, answer] {
-            when_awake([this, weak, id, drawn, answer] { conclude(weak, id, drawn, answer); });
+            run_unless_hung([this, weak, id, drawn, answer] { finish_setup(weak, id, drawn, answer); });
         }));
         if (timers_.size() > kTimersKept) timers_.pop_front();
     }
 
-    void conclude(const std::weak_ptr<Link>& weak, RequestId id, double drawn, const std::string& answer) {
+    void finish_setup(const std::weak_ptr<Link>& weak, RequestId id, double drawn,
+                      const std::string& answer) {
         const auto link = weak.lock();
         if (!link || !link->stream || !link->open.count(id)) return;  // given up
         const NodeBehaviour& b = behaviour;
         const double full = b.silent + b.full, error = full + b.error, reset = error + b.reset;
-        if (drawn < full) return turn_away(*link, id, relay::kCauseFull, AttemptEnd::proved_unrun);
-        if (drawn < error) return turn_away(*link, id, relay::kCauseError, AttemptEnd::unknown);
+        if (drawn < full) return reject(*link, id, relay::kCauseFull, AttemptEnd::never_ran);
+        if (drawn < error) return reject(*link, id, relay::kCauseError, AttemptEnd::unknown);
         if (drawn < reset) return link->drop();
         link->open.erase(id);
         ledger_.attempt_ended(id, name_, AttemptEnd::answered, loop_.now());
@@ -208,16 +210,16 @@
         session.life =
             loop_.after(leaves ? between(0, 3) : between(b.least_life, b.most_life), [this, id, leaves] {
                 const int cause = leaves ? relay::kCauseCancelled : relay::kCauseGivenUp;
-                when_awake([this, id, cause] { end(id, cause); });
+                run_unless_hung([this, id, cause] { end(id, cause); });
             });
     }
-    void turn_away(Link& link, RequestId id, int cause, AttemptEnd how) {
+    void reject(Link& link, RequestId id, int cause, AttemptEnd how) {
         link.open.erase(id);
         ledger_.attempt_ended(id, name_, how, loop_.now());
         send(link, Type::release, id, cause);
     }
 
-    // The session is over; told on the connection of its set-up, otherwise on any, otherwise on the next.
+    // Ends the session and reports it on the connection of its set-up, else on any, else on the next one.
     void end(RequestId id, int cause) {
         const auto it = sessions_.find(id);
         if (it == sessions_.end()) return;
@@ -232,18 +234,18 @@
             for (const auto& one : links_)
                 if (one->stream && one->director == gone.director) link = one;
         }
-        ledger_.word(id,
-                     "ended at " + name_ + " with " + std::to_string(cause) +
-                         (own    ? ""
-                          : link ? ", told on another connection"
-                                 : ", to be told on the next"),
-                     loop_.now());
+        ledger_.add_history(id,
+                            "ended at " + name_ + " with " + std::to_string(cause) +
+                                (own    ? ""
+                                 : link ? ", told on another connection"
+                                        : ", to be told on the next"),
+                            loop_.now());
         if (Request* request = ledger_.find(id); request && link) request->told = loop_.now();
         if (link) send(*link, Type::release, id, cause);
-        untold_.push_back({id, cause, gone.director});
+        unreported_ends_.push_back({id, cause, gone.director});
     }
 
-    static constexpr Time kCatchUp = 50;  // after a hang: until all that came meanwhile has been read
+    static constexpr Time kCatchUp = 50;  // after a hang, until everything that arrived in it has been read
     static constexpr std::size_t kTimersKept = 4096;  // longer than any of them runs
 
     io::Loop& loop_;
@@ -253,7 +255,7 @@
     std::vector<std::unique_ptr<io::Listener>> listeners_;  // by director
     std::list<std::shared_ptr<Link>> links_;
     std::map<RequestId, Session> sessions_;
-    std::vector<Untold> untold_;  // on the next connection
+    std::vector<UnreportedEnd> unreported_ends_;  // reported on the next connection
     std::list<io::Timer> timers_;
     std::vector<std::function<void()>> waiting_;
     bool hanging_ = false;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,8 +1,8 @@
-// A soak of real director processes on loopback: clients that use open connections to the end, media nodes
-// that misbehave, and signals in series, drawn from a seed. What the processes do in time is not repeatable
-// to the millisecond; what is asked of them is.
+// Soak test of real director processes on loopback: clients that use open connections to the end, media nodes
+// with faults, and series of signals, all drawn from a seed. The timing of the processes is not repeatable to
+// the millisecond; the requests and faults are.
 //
-// By hand:  IVYFIELD_SOAK_SEEDS=100-149 soak_tests
+// Run by hand:  IVYFIELD_SOAK_SEEDS=100-149 soak_tests
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,7 +22,7 @@
     int directors = 3;
     int nodes = 3;
     bool crowd = false;
-    Time length = 5000;  // then no more requests, and all must come to an end
+    Time length = 5000;  // then no more requests, and all pending ones have to end
 };
 
 class Fleet {
@@ -37,16 +37,16 @@
                                                          random_(), ledger_));
         }
         for (int k = 0; k < scenario.directors; ++k) {
-            seats_.emplace_back();
-            Seat& seat = seats_.back();
-            for (const auto& node : nodes_) seat.listed.push_back({node->name(), node->address(k)});
+            slots_.emplace_back();
+            DirectorSlot& slot = slots_.back();
+            for (const auto& node : nodes_) slot.listed.push_back({node->name(), node->address(k)});
             for (int n = 0; n < 2; ++n)
-                seat.names.push_back(std::make_unique<relaytest::NameServer>(
-                    loop_, io::Address{"127.0.0.1", 0}, 3, seat.listed));
-            seat.director = std::make_unique<DirectorProcess>(loop_, k, folder_, free_address(), ledger_);
+                slot.names.push_back(std::make_unique<relaytest::NameServer>(
+                    loop_, io::Address{"127.0.0.1", 0}, 3, slot.listed));
+            slot.director = std::make_unique<DirectorProcess>(loop_, k, folder_, free_address(), ledger_);
             ClientSettings settings;
             if (scenario.crowd && k == 0) settings.connections = 40;
-            seat.clients = std::make_unique<ClientPool>(loop_, *seat.director, random_(), ledger_, settings,
+            slot.clients = std::make_unique<ClientPool>(loop_, *slot.director, random_(), ledger_, settings,
                                                         [this] { return lateness_; });
         }
     }
@@ -58,10 +58,10 @@
     Fleet& operator=(const Fleet&) = delete;
 
     void run() {
-        beat();
-        for (Seat& seat : seats_) start(seat);
+        measure_lateness();
+        for (DirectorSlot& slot : slots_) start(slot);
         keep(loop_.after(scenario_.length, [this] { wind_down(); }));
-        for (Seat& seat : seats_) plan_signals(seat);
+        for (DirectorSlot& slot : slots_) plan_signals(slot);
         plan_node_faults();
         loop_.run();
         ledger_.close(loop_.now());
@@ -73,17 +73,17 @@
              << " requests, " << ledger_.count(Reply::established) << " established, "
              << ledger_.count(Reply::rejected) << " rejected, " << ledger_.count(Reply::failed) << " failed, "
              << ledger_.resent() << " sent again, " << terms_ << " SIGTERM, " << kills_
-             << " killed, latest beat " << worst_ << " ms, " << ledger_.faults().size() << " faults";
+             << " killed, max lateness " << max_lateness_ << " ms, " << ledger_.faults().size() << " faults";
         return text.str();
     }
 
   private:
-    struct Seat {
+    struct DirectorSlot {
         std::unique_ptr<DirectorProcess> director;
         std::unique_ptr<ClientPool> clients;
-        std::vector<relaytest::ListedNode> listed;  // the media nodes, at the addresses set aside for it
+        std::vector<relaytest::ListedNode> listed;  // the media nodes, at their addresses for this director
         std::vector<std::unique_ptr<relaytest::NameServer>> names;
-        std::size_t asked_names = 0;  // which of them it is told to ask
+        std::size_t asked_names = 0;  // index of the name server in its configuration
         io::Timer watch, ready;
         std::unique_ptr<io::Stream> test;
         bool restarting = false, down = true;
@@ -94,8 +94,7 @@
     Time between(Time least, Time most) { return std::uniform_real_distribution<Time>(least, most)(random_); }
     void keep(io::Timer timer) { timers_.push_back(std::move(timer)); }
     void later(Time delay, io::Loop::Task task) { keep(loop_.after(delay, std::move(task))); }
-    // Below the ports that the system gives to connections: one that is free stays free while its director is
-    // down.
+    // Below the range of ephemeral ports, so that a free port stays free while its director is down.
     io::Address free_address() {
         for (;;) {
             const int port = kFirstPort + (::getpid() * kPortsARun + next_port_++) % kPorts;
@@ -108,10 +107,10 @@
             }
         }
     }
-    static std::string config(const Seat& seat) {
+    static std::string config(const DirectorSlot& slot) {
         std::string text = relaytest::make_director_config(
-            seat.listed, seat.names[seat.asked_names]->socket->address().text());
-        // Room for more sessions than the other tests need.
+            slot.listed, slot.names[slot.asked_names]->socket->address().text());
+        // Capacity for more sessions than the other tests need.
         const auto set = [&](const std::string& from, const std::string& to) {
             text.replace(text.find(from), from.size(), to);
         };
@@ -121,26 +120,26 @@
         return text;
     }
 
-    // How late the harness itself runs: what it sees may have happened so much earlier.
-    void beat() {
+    // Measures how late the harness itself runs: what it sees may have happened that much earlier.
+    void measure_lateness() {
         const Time due = loop_.now() + kBeat;
-        beat_ = loop_.at(due, [this, due] {
+        lateness_timer_ = loop_.at(due, [this, due] {
             const Time late = loop_.now() - due;
             lateness_ = std::max(late, lateness_ * 0.9);
-            worst_ = std::max(worst_, late);
-            beat();
+            max_lateness_ = std::max(max_lateness_, late);
+            measure_lateness();
         });
     }
 
     // ---- Directors ----
 
-    void start(Seat& seat) {
-        seat.down = false;
-        seat.ready_since.reset();
-        seat.director->start(config(seat));
-        await_ready(seat);
+    void start(DirectorSlot& slot) {
+        slot.down = false;
+        slot.ready_since.reset();
+        slot.director->start(config(slot));
+        await_ready(slot);
     }
-    // A connection that comes up is the sign that it listens.
+    // A connection that opens shows that the director listens.
     struct Probe : io::StreamHandler {
         std::function<void(bool)> done;
         void on_open() override { done(true); }
@@ -148,83 +147,83 @@
         void on_end() override {}
         void on_closed(io::CloseStatus) override { done(false); }
     };
-    void await_ready(Seat& seat) {
+    void await_ready(DirectorSlot& slot) {
         auto probe = std::make_shared<Probe>();
-        Seat* at = &seat;
+        DirectorSlot* at = &slot;
         probe->done = [this, at, probe](bool up) {
             if (!at->test) return;
             loop_.post([this, at, up, test = std::shared_ptr<io::Stream>(std::move(at->test)), probe] {
                 probe->done = nullptr;
-                if (up) return taken_in(*at);
+                if (up) return put_in_service(*at);
                 at->ready = loop_.after(kReadyRetry, [this, at] { await_ready(*at); });
             });
         };
-        seat.test = loop_.dial(seat.director->address(), kReadyTimeout, probe.get());
+        slot.test = loop_.dial(slot.director->address(), kReadyTimeout, probe.get());
     }
-    void taken_in(Seat& seat) {
+    void put_in_service(DirectorSlot& slot) {
         if (winding_down_) return;
-        seat.ready_since = loop_.now();
-        seat.clients->begin();
+        slot.ready_since = loop_.now();
+        slot.clients->begin();
     }
 
-    void terminate(Seat& seat) {
-        if (!seat.director->running()) return;
+    void terminate(DirectorSlot& slot) {
+        if (!slot.director->running()) return;
         terms_ += 1;
-        seat.director->term();
-        later(between(200, 400), [at = &seat] { at->clients->no_new_connections(); });
-        watch(seat);
+        slot.director->term();
+        later(between(200, 400), [at = &slot] { at->clients->no_new_connections(); });
+        watch(slot);
     }
-    void watch(Seat& seat) {
-        seat.watch = loop_.after(kWatch, [this, at = &seat] {
+    void watch(DirectorSlot& slot) {
+        slot.watch = loop_.after(kWatch, [this, at = &slot] {
             if (!at->director->gone()) return watch(*at);
-            // What the process's end did to its connections is heard before they are forgotten.
+            // The clients see the closed connections before these are dropped.
             later(kSettle, [this, at] {
                 at->clients->forget_connections();
                 ledger_.incarnation_over(at->director->index(), at->director->incarnation(), loop_.now());
                 at->restarting = false;
                 at->down = true;
-                if (winding_down_) return seat_over();
+                if (winding_down_) return finish_if_idle();
                 later(between(20, 200), [this, at] {
                     if (!winding_down_) start(*at);
                 });
             });
         });
     }
-    void plan_signals(Seat& seat) {
+    void plan_signals(DirectorSlot& slot) {
         for (Time when = between(400, 1200); when < scenario_.length - 200; when += between(300, 1500))
-            later(when, [this, at = &seat] { act(*at); });
+            later(when, [this, at = &slot] { act(*at); });
     }
-    void act(Seat& seat) {
-        DirectorProcess& director = *seat.director;
-        if (winding_down_ || seat.restarting || !seat.ready_since || !director.running()) return;
+    void act(DirectorSlot& slot) {
+        DirectorProcess& director = *slot.director;
+        if (winding_down_ || slot.restarting || !slot.ready_since || !director.running()) return;
         const double drawn = chance();
-        if (drawn < 0.25) return reload(seat);
-        if (drawn < 0.4) return stall(seat);
-        seat.restarting = true;
+        if (drawn < 0.25) return reload(slot);
+        if (drawn < 0.4) return stall(slot);
+        slot.restarting = true;
         if (drawn < 0.5) {
             kills_ += 1;
             director.kill_outright();
-            seat.clients->no_new_connections();
-            return watch(seat);
+            slot.clients->no_new_connections();
+            return watch(slot);
         }
-        if (drawn < 0.6) reload(seat);
-        if (drawn < 0.7) stall(seat);
-        terminate(seat);
+        if (drawn < 0.6) reload(slot);
+        if (drawn < 0.7) stall(slot);
+        terminate(slot);
         if (drawn < 0.8) director.term();
         if (drawn > 0.9)
-            later(between(0, 900), [at = &seat] {
+            later(between(0, 900), [at = &slot] {
                 if (at->director->running()) at->director->term();
             });
     }
-    void stall(Seat& seat) {
-        seat.director->stall(true);
-        later(between(10, 120), [at = &seat] { at->director->stall(false); });
+    void stall(DirectorSlot& slot) {
+        slot.director->stall(true);
+        later(between(10, 120), [at = &slot] { at->director->stall(false); });
     }
-    void reload(Seat& seat) {
-        // The platform sends none in the first second of a director that is ready.
-        if (loop_.now() < *seat.ready_since + kFirstReload) return;
-        seat.asked_names = 1 - seat.asked_names;
-        seat.director->reload(config(seat));
+    void reload(DirectorSlot& slot) {
+        // The platform sends no SIGHUP in the first second after a director is ready.
+        if (loop_.now() < *slot.ready_since + kFirstReload) return;
+        slot.asked_names = 1 - slot.asked_names;
+        slot.director->reload(config(slot));
     }
 
     // ---- Media nodes ----
@@ -243,22 +242,22 @@
     void wind_down() {
         winding_down_ = true;
         later(kLastTerm, [this] {
-            all_told_ = true;
-            for (Seat& seat : seats_) {
-                seat.ready.stop();
-                if (seat.restarting || seat.down) continue;
-                seat.restarting = true;
-                if (seat.director->running()) terminate(seat);
-                else watch(seat);
+            all_terminated_ = true;
+            for (DirectorSlot& slot : slots_) {
+                slot.ready.stop();
+                if (slot.restarting || slot.down) continue;
+                slot.restarting = true;
+                if (slot.director->running()) terminate(slot);
+                else watch(slot);
             }
-            seat_over();
+            finish_if_idle();
         });
         later(kLastTerm + 2 * kKillAfterTerm, [this] { loop_.stop(); });
     }
-    void seat_over() {
-        if (!all_told_) return;
-        for (const Seat& seat : seats_)
-            if (seat.restarting) return;
+    void finish_if_idle() {
+        if (!all_terminated_) return;
+        for (const DirectorSlot& slot : slots_)
+            if (slot.restarting) return;
         loop_.stop();
     }
 
@@ -273,13 +272,13 @@
     const std::string folder_;
     Ledger ledger_;
     std::vector<std::unique_ptr<MediaNode>> nodes_;
-    std::list<Seat> seats_;
+    std::list<DirectorSlot> slots_;
     std::list<io::Timer> timers_;
-    io::Timer beat_;
-    Time lateness_ = 0, worst_ = 0;
+    io::Timer lateness_timer_;
+    Time lateness_ = 0, max_lateness_ = 0;
     int next_port_ = 0;
     int terms_ = 0, kills_ = 0;
-    bool winding_down_ = false, all_told_ = false;  // to leave, at the end
+    bool winding_down_ = false, all_terminated_ = false;  // to leave, at the end
 };
 
 std::vector<std::uint64_t> seeds() {
