--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -177,7 +177,8 @@
         [&](const standins::PlayerResult& result) {
             started = result.started;
             std::cout << (result.started ? "played" : "did not play") << " after " << result.tries
-                      << " tries, worth " << result.earned_worth << " of " << result.offered_worth << std::endl;
+                      << " tries, worth " << result.earned_worth << " of " << result.offered_worth
+                      << std::endl;
             loop.stop();
         });
     loop.run();
