--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -295,10 +295,10 @@
     }
     // All sessions of the node are over, whether or not their director knows it.
     void release_node_seats(const SocketEvent& t) {
-        std::vector<Attempt> gone;
+        std::vector<Attempt> ended;
         for (const auto& [key, seat] : seat_by_attempt_)
-            if (seat.second == t.source) gone.push_back(key);
-        for (const Attempt& key : gone) release_seat(key);
+            if (seat.second == t.source) ended.push_back(key);
+        for (const Attempt& key : ended) release_seat(key);
     }
 
     // ---- Rule 6: retry budget ----
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -134,8 +134,9 @@
       }()) {
     report_.name = scenario_.name;
     report_.seed = seed;
-    const auto tap = [this](const SocketEvent& t) { events_.push_back(t); };
-    server_list_ = std::make_unique<standins::ServerListEmulator>(loop_, io::Address{}, "media", tap);
+    const auto record_event = [this](const SocketEvent& t) { events_.push_back(t); };
+    server_list_ =
+        std::make_unique<standins::ServerListEmulator>(loop_, io::Address{}, "media", record_event);
     const json fleet_part = scenario_.director_config.at("fleet");
     const json cold = scenario_.director_config.value("rules", json::object()).value("cold", json::object());
     fleet::FleetSpec spec;
@@ -167,7 +168,8 @@
             s.report_interval = scenario_.report_interval;
             s.note_delay = fleet_part.value("notes_late_ms", 680.0);
             ListedNode listed_node;
-            listed_node.node = std::make_unique<standins::NodeEmulator>(loop_, *fleet_, number, s, tap);
+            listed_node.node =
+                std::make_unique<standins::NodeEmulator>(loop_, *fleet_, number, s, record_event);
             listed_node.up = g.up;
             listed_node.listed.id = s.name, listed_node.listed.kind = g.kind,
             listed_node.listed.weight = g.weight;
--- a/src/standins/list.cpp
+++ b/src/standins/list.cpp
@@ -8,10 +8,10 @@
 using nlohmann::json;
 
 ServerListEmulator::ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service,
-                                       EventSink tap)
+                                       EventSink event_sink)
     : loop_(loop),
       service_(std::move(service)),
-      event_sink_(std::move(tap)),
+      event_sink_(std::move(event_sink)),
       server_(loop, listen, {}, [this](const http::ExchangePtr& e) { handle_request(e); }) {}
 
 void ServerListEmulator::schedule_change(std::function<void()> change) {
--- a/src/standins/list.hpp
+++ b/src/standins/list.hpp
@@ -22,7 +22,7 @@
 // Answers queries of directors and records each answer.
 class ServerListEmulator {
   public:
-    ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service, EventSink tap);
+    ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service, EventSink event_sink);
     io::Address address() const { return server_.address(); }
     // Adds or replaces an entry; as with remove_server(), answers change after the update delay.
     void set_server(const ListedServer& one);
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -59,12 +59,12 @@
 }  // namespace
 
 NodeEmulator::NodeEmulator(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings,
-                           EventSink tap)
+                           EventSink event_sink)
     : loop_(loop),
       fleet_(fleet),
       number_(number),
       settings_(std::move(settings)),
-      event_sink_(std::move(tap)),
+      event_sink_(std::move(event_sink)),
       address_(settings_.listen) {
     if (!settings_.media_folder.empty()) load_media_folder();
 }
--- a/src/standins/node.hpp
+++ b/src/standins/node.hpp
@@ -35,8 +35,8 @@
     io::Time report_interval = 500;                      // interval of new load reports
     io::Time lease_time = 60000;         // a director's sessions end after this time without an event stream
     io::Time release_retention = 60000;  // released attempts that arrive within this time are rejected
-    std::size_t max_logged_ends =
-        1024;                     // session ends kept per director, so that it can resume its event stream
+    // Session ends kept per director, so that it can resume its event stream.
+    std::size_t max_logged_ends = 1024;
     double byte_fraction = 0.01;  // part of their nominal bytes that generated segments carry
     std::string media_folder;     // folder with RUNG/NUMBER.ts to serve instead; empty: generated
 };
@@ -45,7 +45,8 @@
 class NodeEmulator {
   public:
     // Throws std::runtime_error, which names the file, if the media folder can't be used.
-    NodeEmulator(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings, EventSink tap);
+    NodeEmulator(io::Loop& loop, fleet::Fleet& fleet, int number, NodeSettings settings,
+                 EventSink event_sink);
     ~NodeEmulator();
     const std::string& name() const { return settings_.name; }
     io::Address address() const { return address_; }
--- a/src/standins/player.cpp
+++ b/src/standins/player.cpp
@@ -7,14 +7,14 @@
 namespace ivyfield::standins {
 
 PlayerEmulator::PlayerEmulator(io::Loop& loop, http::Client& client, PlayerSettings settings,
-                               std::function<std::pair<std::string, io::Address>()> director, EventSink tap,
-                               std::function<void(const PlayerResult&)> done)
+                               std::function<std::pair<std::string, io::Address>()> director,
+                               EventSink event_sink, std::function<void(const PlayerResult&)> on_finished)
     : loop_(loop),
       client_(client),
       settings_(std::move(settings)),
       choose_director_(std::move(director)),
-      event_sink_(std::move(tap)),
-      on_finished_(std::move(done)),
+      event_sink_(std::move(event_sink)),
+      on_finished_(std::move(on_finished)),
       started_at_(loop.now()),
       ends_at_(loop.now() + settings_.watch_duration) {
     result_.tenant = settings_.tenant;
--- a/src/standins/player.hpp
+++ b/src/standins/player.hpp
@@ -26,8 +26,8 @@
     HintStyle hint_style = HintStyle::query;
     bool sends_duplicate = false;  // sends the same request again while the first is pending
     io::Time leave_after = -1;     // closes its connection without an answer after this time; below 0: never
-    double return_probability =
-        0.85;  // after an interruption, a rejection or the failure of an idempotent class
+    // After an interruption, a rejection or the failure of an idempotent class.
+    double return_probability = 0.85;
     io::Time min_return_delay = 1600, max_return_delay = 2900;
     int max_tries = 4;
     io::Time segment_duration = 1000;
@@ -37,20 +37,19 @@
 // What became of one player.
 struct PlayerResult {
     std::string tenant, cls;
-    bool started = false,
-         in_time = false;  // in_time: playback within the startup target, in whichever try
+    bool started = false, in_time = false;  // in_time: playback within the startup target, in whichever try
     int tries = 0, rejected = 0, failed = 0, abandoned = 0, errors = 0, rung_changes = 0, moves = 0;
     io::Time startup_time = -1;  // from the first request to the first playlist
     double offered_worth = 0, earned_worth = 0;
 };
 
-// One player. `done` is called from the loop, so that it may destroy the player.
+// One player. `on_finished` is called from the loop, so that it may destroy the player.
 class PlayerEmulator {
   public:
     // `director` returns the name and address of the director for the next request.
     PlayerEmulator(io::Loop& loop, http::Client& client, PlayerSettings settings,
-                   std::function<std::pair<std::string, io::Address>()> director, EventSink tap,
-                   std::function<void(const PlayerResult&)> done);
+                   std::function<std::pair<std::string, io::Address>()> director, EventSink event_sink,
+                   std::function<void(const PlayerResult&)> on_finished);
     ~PlayerEmulator();
 
   private:
