--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -192,10 +192,12 @@
         loop_.post([keep = std::shared_ptr<io::Stream>(std::move(link.stream))] {});
         const auto pending = std::move(link.pending);
         link.pending.clear();
-        for (const RequestId id : pending) check_unanswered(link, id);
+        // Sending a request again removes closed connections, this one included.
+        const std::uint64_t number = link.number;
+        for (const RequestId id : pending) check_unanswered(number, id);
         loop_.post([this] { fill(); });
     }
-    void check_unanswered(const Link& link, RequestId id) {
+    void check_unanswered(std::uint64_t connection_number, RequestId id) {
         Request& request = *ledger_.find(id);
         if (request.cancelled || request.reply != Reply::none) return;
         if (director_.killed() && request.incarnation == director_.incarnation()) {
@@ -209,7 +211,7 @@
                                 "its connection closed unanswered after " + std::to_string(ago) + " ms",
                                 loop_.now());
         request.resent = true;
-        ledger_.add_history(id, "connection " + std::to_string(link.number) + " closed, sent again",
+        ledger_.add_history(id, "connection " + std::to_string(connection_number) + " closed, sent again",
                             loop_.now());
         request.sent = loop_.now();
         dial(line_of(request)).pending.insert(id);
