--- a/src/day/day.hpp
+++ b/src/day/day.hpp
@@ -113,15 +113,15 @@
 
   private:
     struct ListedNode {
-        std::unique_ptr<standins::NodeEmulator> node;
-        standins::ListedServer listed;
+        std::unique_ptr<standins::NodeEmulator> emulator;
+        standins::ListedServer entry;  // the node's entry in the server list
         bool up = false;
     };
     void start_scenario();
-    void schedule_arrival(std::size_t of);
-    void start_player(const ArrivalSpec& a);
+    void schedule_arrival(std::size_t index);
+    void start_player(const ArrivalSpec& arrival);
     std::pair<std::string, io::Address> pick_director();
-    void inject_fault(const FaultSpec& f);
+    void inject_fault(const FaultSpec& fault);
     void schedule(io::Time wait, std::function<void()> task);
     void start_director(int number);
     void kill_director(int number);
--- a/src/standins/list.hpp
+++ b/src/standins/list.hpp
@@ -37,8 +37,8 @@
         http::ExchangePtr exchange;
         io::Timer timeout_timer;
     };
-    void handle_request(const http::ExchangePtr& e);
-    void send_answer(const http::ExchangePtr& e);
+    void handle_request(const http::ExchangePtr& exchange);
+    void send_answer(const http::ExchangePtr& exchange);
     void notify_change();
     void schedule_change(std::function<void()> change);
 
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -43,11 +43,11 @@
 constexpr const char* kAllowedRequestHeaders = "CMCD-Request, CMCD-Object, CMCD-Status, CMCD-Session, Range";
 constexpr const char* kExposedResponseHeaders = "CMSD-Dynamic, CMSD-Static, X-Ivyfield-Moved";
 http::Response json_response(int status, const json& body) {
-    http::Response r;
-    r.status = status;
-    r.headers.add("Content-Type", "application/json");
-    r.body = body.dump();
-    return r;
+    http::Response response;
+    response.status = status;
+    response.headers.add("Content-Type", "application/json");
+    response.body = body.dump();
+    return response;
 }
 std::string hex(std::uint64_t bits) {
     static constexpr char digits[] = "0123456789abcdef";
@@ -106,10 +106,10 @@
                        [&](const EmulatedClass& c) { return c.name == cls && c.live; });
 }
 
-void NodeEmulator::record_event(SocketEvent t) {
-    t.at = loop_.now();
-    t.source = settings_.name;
-    if (event_sink_) event_sink_(t);
+void NodeEmulator::record_event(SocketEvent event) {
+    event.at = loop_.now();
+    event.source = settings_.name;
+    if (event_sink_) event_sink_(event);
 }
 
 void NodeEmulator::start(bool warm) {
@@ -117,28 +117,28 @@
     boot_ = hex(loop_.random()());
     http::ServerLimits limits;
     limits.write_timeout = 5000;
-    server_ = std::make_unique<http::Server>(loop_, address_, limits,
-                                             [this](const http::ExchangePtr& e) { handle_request(e); });
+    server_ = std::make_unique<http::Server>(
+        loop_, address_, limits, [this](const http::ExchangePtr& exchange) { handle_request(exchange); });
     address_ = server_->address();
     hung_ = false;
     load_reports_.clear();
     refresh_load_report();
     send_notes();
-    SocketEvent t;
-    t.type = "node_start";
-    t.outcome = warm ? "warm" : "cold";
-    record_event(t);
+    SocketEvent event;
+    event.type = "node_start";
+    event.outcome = warm ? "warm" : "cold";
+    record_event(event);
 }
 void NodeEmulator::crash() {
     if (hung_) {
-        SocketEvent t;
-        t.type = "thaw";
-        record_event(t);
+        SocketEvent event;
+        event.type = "thaw";
+        record_event(event);
     }
     hung_ = false;
-    SocketEvent down;
-    down.type = "node_down";
-    record_event(down);
+    SocketEvent down_event;
+    down_event.type = "node_down";
+    record_event(down_event);
     server_.reset();  // first, so that requests dropped below have no connection left to be answered on
     pending_setups_.clear();
     sessions_.clear();
@@ -155,9 +155,9 @@
 void NodeEmulator::set_hung(bool on) {
     if (on == hung_ || !server_) return;
     hung_ = on;
-    SocketEvent t;
-    t.type = on ? "hang" : "thaw";
-    record_event(t);
+    SocketEvent event;
+    event.type = on ? "hang" : "thaw";
+    record_event(event);
     if (on) return server_->pause();
     server_->resume();
     const auto work = std::move(deferred_work_);
@@ -171,32 +171,33 @@
     return settings_.rung_kb.at(static_cast<std::size_t>(rung));
 }
 
-void NodeEmulator::handle_request(const http::ExchangePtr& e) {
-    const auto parts = split_path(e->request().path());
-    const std::string& method = e->request().method;
+void NodeEmulator::handle_request(const http::ExchangePtr& exchange) {
+    const auto parts = split_path(exchange->request().path());
+    const std::string& method = exchange->request().method;
     if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "sessions" && method == "POST")
-        return handle_setup(e);
+        return handle_setup(exchange);
     if (parts.size() == 4 && parts[0] == "v1" && parts[1] == "sessions" && parts[3] == "release" &&
         method == "POST")
-        return handle_release(e, parts[2]);
-    if (parts.size() >= 5 && parts[0] == "v1" && parts[1] == "sessions") return handle_command(e, parts);
+        return handle_release(exchange, parts[2]);
+    if (parts.size() >= 5 && parts[0] == "v1" && parts[1] == "sessions")
+        return handle_command(exchange, parts);
     if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "load" && method == "GET") {
         const io::Time seen = loop_.now() - report_delay_;
         std::string text = load_reports_.front().second;
         for (const auto& [made, report] : load_reports_)
             if (made <= seen) text = report;
-        http::Response r;
-        r.headers.add("Content-Type", "application/json");
-        r.body = text;
-        return e->respond(r);
+        http::Response response;
+        response.headers.add("Content-Type", "application/json");
+        response.body = text;
+        return exchange->respond(response);
     }
     if (parts.size() == 2 && parts[0] == "v1" && parts[1] == "events" && method == "GET")
-        return serve_events(e);
+        return serve_events(exchange);
     if (parts.size() == 4 && parts[0] == "media")
-        return http::is_preflight(e->request())
-                   ? e->respond(http::preflight_response(kAllowedRequestHeaders, 7200))
-                   : serve_media(e, parts);
-    e->respond(http::text_response(404, "nothing here"));
+        return http::is_preflight(exchange->request())
+                   ? exchange->respond(http::preflight_response(kAllowedRequestHeaders, 7200))
+                   : serve_media(exchange, parts);
+    exchange->respond(http::text_response(404, "nothing here"));
 }
 
 void NodeEmulator::schedule(io::Time wait, std::function<void()> task) {
@@ -213,72 +214,72 @@
 
 // ---- Set-ups ----
 
-void NodeEmulator::handle_setup(const http::ExchangePtr& e) {
-    const json body = json::parse(e->request().body, nullptr, false);
-    SocketEvent t;
-    t.type = "setup";
+void NodeEmulator::handle_setup(const http::ExchangePtr& exchange) {
+    const json body = json::parse(exchange->request().body, nullptr, false);
+    SocketEvent event;
+    event.type = "setup";
     try {
         if (body.at("protocol").get<int>() != 2)
             throw std::invalid_argument("this node speaks protocol 2 (docs/node-protocol.md)");
-        t.director = body.at("director").get<std::string>();
-        t.session = body.at("session").get<std::uint64_t>();
-        t.attempt = body.at("attempt").get<int>();
-        t.sid = body.at("sid").get<std::string>();
-        t.cls = body.at("class").get<std::string>();
-        t.title = body.at("title").get<std::string>();
-        t.tenant = body.value("tenant", "");
-        t.rung = body.at("rung").get<int>();
-        t.non_idempotent = body.at("paid").get<bool>();
-        if (t.rung < 0 || t.rung >= static_cast<int>(settings_.rung_kb.size()))
+        event.director = body.at("director").get<std::string>();
+        event.session = body.at("session").get<std::uint64_t>();
+        event.attempt = body.at("attempt").get<int>();
+        event.sid = body.at("sid").get<std::string>();
+        event.cls = body.at("class").get<std::string>();
+        event.title = body.at("title").get<std::string>();
+        event.tenant = body.value("tenant", "");
+        event.rung = body.at("rung").get<int>();
+        event.non_idempotent = body.at("paid").get<bool>();
+        if (event.rung < 0 || event.rung >= static_cast<int>(settings_.rung_kb.size()))
             throw std::invalid_argument("rung is not on the ladder");
     } catch (const std::exception& why) {
-        return e->respond(http::text_response(400, why.what()));
+        return exchange->respond(http::text_response(400, why.what()));
     }
-    const AttemptKey key{t.director, t.session, t.attempt};
-    record_event(t);
-    const auto over = [this, t](int status, const char* how) {
-        SocketEvent o = t;
-        o.type = "setup_over";
-        o.status = status;
-        o.outcome = how;
-        record_event(o);
+    const AttemptKey key{event.director, event.session, event.attempt};
+    record_event(event);
+    const auto record_setup_over = [this, event](int status, const char* how) {
+        SocketEvent end_event = event;
+        end_event.type = "setup_over";
+        end_event.status = status;
+        end_event.outcome = how;
+        record_event(end_event);
     };
     // Released before it arrived: no director waits for it.
     if (released_attempts_.count(key) || sessions_.count(key) || pending_setups_.count(key)) {
-        http::Response r = json_response(503, {{"why", "called off, or here already"}});
-        if (released_attempts_.count(key)) r.headers.add("X-Ivyfield-Unseen", "1");
-        over(503, released_attempts_.count(key) ? "full" : "repeated");
-        return e->respond(r);
+        http::Response response = json_response(503, {{"why", "called off, or here already"}});
+        if (released_attempts_.count(key)) response.headers.add("X-Ivyfield-Unseen", "1");
+        record_setup_over(503, released_attempts_.count(key) ? "full" : "repeated");
+        return exchange->respond(response);
     }
     const auto chance = [this](double p) { return p > 0 && std::bernoulli_distribution(p)(loop_.random()); };
     if (chance(error_probability_)) {
-        over(500, "error");
-        return e->respond(http::text_response(500, "this node is broken"));
+        record_setup_over(500, "error");
+        return exchange->respond(http::text_response(500, "this node is broken"));
     }
     switch (fleet_.begin_setup(number_, loop_.now())) {
         case fleet::SetupResult::overloaded: {
-            SocketEvent fell = t;
-            fell.type = "node_fell";
-            record_event(fell);
-            over(0, "broke");
+            SocketEvent overload_event = event;
+            overload_event.type = "node_fell";
+            record_event(overload_event);
+            record_setup_over(0, "broke");
             loop_.post([this] { crash(); });
-            return e->abort_connection();
+            return exchange->abort_connection();
         }
         case fleet::SetupResult::full: {
-            http::Response r = json_response(503, {{"why", "full"}});
-            r.headers.add("X-Ivyfield-Unseen", "1");
-            over(503, "full");
-            return e->respond(r);
+            http::Response response = json_response(503, {{"why", "full"}});
+            response.headers.add("X-Ivyfield-Unseen", "1");
+            record_setup_over(503, "full");
+            return exchange->respond(response);
         }
         case fleet::SetupResult::accepted:
             break;
     }
-    auto setting = std::make_unique<PendingSetup>();
-    setting->exchange = e;
-    e->on_disconnect([this, key, over] {
+    auto pending_setup = std::make_unique<PendingSetup>();
+    pending_setup->exchange = exchange;
+    exchange->on_disconnect([this, key, record_setup_over] {
         // The director cancelled the set-up or went down: it does not run any more unless it already has.
         const auto it = pending_setups_.find(key);
-        over(0, "gone");
+        record_setup_over(0, "gone");
         if (it == pending_setups_.end()) return;
         it->second->exchange.reset();
         if (hung_) return;
@@ -287,122 +288,124 @@
     });
     const double work = std::uniform_real_distribution<double>(settings_.min_setup_time,
                                                                settings_.max_setup_time)(loop_.random());
-    setting->work_timer = loop_.after(work, [this, key, t] { complete_setup(key, t, t.rung); });
-    pending_setups_.emplace(key, std::move(setting));
-    if (t.non_idempotent && hang_after_paid_setup_) {
+    pending_setup->work_timer =
+        loop_.after(work, [this, key, event] { complete_setup(key, event, event.rung); });
+    pending_setups_.emplace(key, std::move(pending_setup));
+    if (event.non_idempotent && hang_after_paid_setup_) {
         hang_after_paid_setup_ = false;
         loop_.post([this] { set_hung(true); });
     }
 }
 
-void NodeEmulator::complete_setup(const AttemptKey& key, const SocketEvent& from, int rung) {
+void NodeEmulator::complete_setup(const AttemptKey& key, const SocketEvent& setup_event, int rung) {
     if (hung_) {
-        deferred_work_.push_back([this, key, from, rung] { complete_setup(key, from, rung); });
+        deferred_work_.push_back([this, key, setup_event, rung] { complete_setup(key, setup_event, rung); });
         return;
     }
     const auto it = pending_setups_.find(key);
     if (it == pending_setups_.end()) return;
-    const std::unique_ptr<PendingSetup> setting = std::move(it->second);
+    const std::unique_ptr<PendingSetup> pending_setup = std::move(it->second);
     pending_setups_.erase(it);
-    SocketEvent ran = from;
+    SocketEvent ran = setup_event;
     ran.type = "ran";
     record_event(ran);
     auto session = std::make_unique<Session>();
     session->token = hex(loop_.random()());
-    session->sid = from.sid, session->cls = from.cls, session->title = from.title;
-    session->tenant = from.tenant, session->non_idempotent = from.non_idempotent;
+    session->sid = setup_event.sid, session->cls = setup_event.cls, session->title = setup_event.title;
+    session->tenant = setup_event.tenant, session->non_idempotent = setup_event.non_idempotent;
     session->rung = rung;
-    DirectorState& state = directors_[from.director];
+    DirectorState& state = directors_[setup_event.director];
     const std::uint64_t start_seq = session->start_seq = ++state.last_seq;
-    if (!state.event_stream) start_lease(from.director);
+    if (!state.event_stream) start_lease(setup_event.director);
     fleet::StreamSpec stream;
-    stream.rate_kb = rate_kb(from.cls, rung);
+    stream.rate_kb = rate_kb(setup_event.cls, rung);
     stream.rung = rung;
-    if (is_live(from.cls)) stream.sharing_key = from.cls + "/" + from.title;
+    if (is_live(setup_event.cls)) stream.sharing_key = setup_event.cls + "/" + setup_event.title;
     session->stream_id = fleet_.start_stream(number_, stream);
     session->idle_timer = loop_.after(settings_.idle_timeout, [this, key] { end_session(key, "ended"); });
     keys_by_token_[session->token] = key;
     const std::string token = session->token;
     sessions_.emplace(key, std::move(session));
-    const http::ExchangePtr e = setting->exchange;
-    if (!e || e->is_disconnected()) return;
-    e->on_disconnect(nullptr);
-    SocketEvent over = from;
-    over.type = "setup_over";
+    const http::ExchangePtr exchange = pending_setup->exchange;
+    if (!exchange || exchange->is_disconnected()) return;
+    exchange->on_disconnect(nullptr);
+    SocketEvent over_event = setup_event;
+    over_event.type = "setup_over";
     if (answer_loss_probability_ > 0 &&
         std::bernoulli_distribution(answer_loss_probability_)(loop_.random())) {
         // The request stays open unanswered until the director's own timeout ends it.
-        over.outcome = "lost";
-        auto held = std::make_shared<http::ExchangePtr>(e);
-        e->on_disconnect([this, over, held] {
-            record_event(over);
-            held->reset();
+        over_event.outcome = "lost";
+        auto open_exchange = std::make_shared<http::ExchangePtr>(exchange);
+        exchange->on_disconnect([this, over_event, open_exchange] {
+            record_event(over_event);
+            open_exchange->reset();
         });
         return;
     }
-    over.status = 200;
-    over.outcome = "started";
-    record_event(over);
+    over_event.status = 200;
+    over_event.outcome = "started";
+    record_event(over_event);
     json answer = {{"media", media_url(token)}, {"boot", boot_}, {"seq", start_seq}};
     if (!renditions_.empty()) answer["renditions"] = renditions_json();
-    e->respond(json_response(200, answer));
+    exchange->respond(json_response(200, answer));
 }
 
 // ---- Commands to playing sessions ----
 
-void NodeEmulator::handle_command(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
+void NodeEmulator::handle_command(const http::ExchangePtr& exchange, const std::vector<std::string>& parts) {
     const auto session = parse_number(parts[3]), attempt = parse_number(parts[4]);
-    if (!session || !attempt) return e->respond(http::text_response(400, "not a session and attempt"));
+    if (!session || !attempt) return exchange->respond(http::text_response(400, "not a session and attempt"));
     const AttemptKey key{parts[2], *session, static_cast<int>(*attempt)};
-    const std::string& method = e->request().method;
+    const std::string& method = exchange->request().method;
     const auto it = sessions_.find(key);
-    SocketEvent t;
-    t.director = parts[2], t.session = *session, t.attempt = static_cast<int>(*attempt);
+    SocketEvent event;
+    event.director = parts[2], event.session = *session, event.attempt = static_cast<int>(*attempt);
     if (method == "DELETE" && parts.size() == 5) {
         release_attempt(key);
-        return e->respond({204, {}, ""});
+        return exchange->respond({204, {}, ""});
     }
-    if (it == sessions_.end()) return e->respond(http::text_response(404, "no such session"));
-    Session& s = *it->second;
+    if (it == sessions_.end()) return exchange->respond(http::text_response(404, "no such session"));
+    Session& playing_session = *it->second;
     if (method == "PUT" && parts.size() == 6 && parts[5] == "rung") {
-        const json body = json::parse(e->request().body, nullptr, false);
+        const json body = json::parse(exchange->request().body, nullptr, false);
         if (!body.is_object() || !body.contains("rung") || !body.at("rung").is_number_integer())
-            return e->respond(http::text_response(400, "no rung"));
+            return exchange->respond(http::text_response(400, "no rung"));
         const int rung = body.at("rung").get<int>();
         if (rung < 0 || rung >= static_cast<int>(settings_.rung_kb.size()))
-            return e->respond(http::text_response(400, "rung is not on the ladder"));
-        s.rung = rung;
-        fleet_.set_rung(number_, s.stream_id, rung, rate_kb(s.cls, rung));
-        t.type = "rung", t.rung = rung, t.cls = s.cls, t.sid = s.sid;
-        record_event(t);
-        return e->respond({204, {}, ""});
+            return exchange->respond(http::text_response(400, "rung is not on the ladder"));
+        playing_session.rung = rung;
+        fleet_.set_rung(number_, playing_session.stream_id, rung, rate_kb(playing_session.cls, rung));
+        event.type = "rung", event.rung = rung, event.cls = playing_session.cls,
+        event.sid = playing_session.sid;
+        record_event(event);
+        return exchange->respond({204, {}, ""});
     }
     if (method == "POST" && parts.size() == 6 && parts[5] == "move") {
-        moved_tokens_.insert(s.token);
+        moved_tokens_.insert(playing_session.token);
         end_session(key, "cancelled");
-        return e->respond({204, {}, ""});
+        return exchange->respond({204, {}, ""});
     }
-    e->respond(http::text_response(405, "not this"));
+    exchange->respond(http::text_response(405, "not this"));
 }
 
-void NodeEmulator::handle_release(const http::ExchangePtr& e, const std::string& director) {
-    const json body = json::parse(e->request().body, nullptr, false);
+void NodeEmulator::handle_release(const http::ExchangePtr& exchange, const std::string& director) {
+    const json body = json::parse(exchange->request().body, nullptr, false);
     std::vector<AttemptKey> keys;
     try {
         for (const json& one : body.at("sessions"))
             keys.emplace_back(director, one.at(0).get<std::uint64_t>(), one.at(1).get<int>());
     } catch (const std::exception& why) {
-        return e->respond(http::text_response(400, why.what()));
+        return exchange->respond(http::text_response(400, why.what()));
     }
     for (const AttemptKey& key : keys) release_attempt(key);
-    e->respond(json_response(200, json::object()));
+    exchange->respond(json_response(200, json::object()));
 }
 // Ends whatever the attempt has at this node. A set-up that arrives after this is rejected.
 void NodeEmulator::release_attempt(const AttemptKey& key) {
-    SocketEvent t;
-    t.type = "cancel";
-    t.director = std::get<0>(key), t.session = std::get<1>(key), t.attempt = std::get<2>(key);
-    record_event(t);
+    SocketEvent event;
+    event.type = "cancel";
+    event.director = std::get<0>(key), event.session = std::get<1>(key), event.attempt = std::get<2>(key);
+    record_event(event);
     const io::Time now = loop_.now();
     while (!release_expiry_queue_.empty() &&
            (release_expiry_queue_.front().first <= now || release_expiry_queue_.size() >= 100000)) {
@@ -425,15 +428,16 @@
     }
     const auto it = sessions_.find(key);
     if (it == sessions_.end()) return;
-    const std::unique_ptr<Session> s = std::move(it->second);
+    const std::unique_ptr<Session> ended_session = std::move(it->second);
     sessions_.erase(it);
-    keys_by_token_.erase(s->token);
-    fleet_.end_stream(number_, s->stream_id);
+    keys_by_token_.erase(ended_session->token);
+    fleet_.end_stream(number_, ended_session->stream_id);
     const auto& [director, session, attempt] = key;
-    SocketEvent t;
-    t.type = "end", t.director = director, t.session = session, t.attempt = attempt;
-    t.sid = s->sid, t.cls = s->cls, t.title = s->title, t.outcome = how;
-    record_event(t);
+    SocketEvent event;
+    event.type = "end", event.director = director, event.session = session, event.attempt = attempt;
+    event.sid = ended_session->sid, event.cls = ended_session->cls, event.title = ended_session->title,
+    event.outcome = how;
+    record_event(event);
     DirectorState& state = directors_[director];
     const std::string line = json{{"event", "end"},     {"boot", boot_},      {"seq", ++state.last_seq},
                                   {"session", session}, {"attempt", attempt}, {"how", how}}
@@ -448,21 +452,22 @@
 
 // ---- Events ----
 
-void NodeEmulator::serve_events(const http::ExchangePtr& e) {
-    const std::string_view query = e->request().query();
+void NodeEmulator::serve_events(const http::ExchangePtr& exchange) {
+    const std::string_view query = exchange->request().query();
     const auto director = http::query_argument(query, "director");
-    if (!director || director->empty()) return e->respond(http::text_response(400, "no director"));
+    if (!director || director->empty()) return exchange->respond(http::text_response(400, "no director"));
     if (http::query_argument(query, "protocol").value_or("1") != "2")
-        return e->respond(http::text_response(400, "this node speaks protocol 2 (docs/node-protocol.md)"));
+        return exchange->respond(
+            http::text_response(400, "this node speaks protocol 2 (docs/node-protocol.md)"));
     if (directors_.size() >= 2000 && !directors_.count(*director))
-        return e->respond(http::text_response(503, "too many directors"));
+        return exchange->respond(http::text_response(503, "too many directors"));
     DirectorState& state = directors_[*director];
     const auto since = parse_number(http::query_argument(query, "since").value_or(""));
     const bool resumes = since && http::query_argument(query, "boot").value_or("") == boot_ &&
                          *since >= state.last_dropped_seq && *since <= state.last_seq;
     http::Headers headers;
     headers.add("Content-Type", "application/x-ndjson");
-    e->start(200, headers);
+    exchange->start(200, headers);
     std::string out = json{{"event", "hello"},  {"node", settings_.name},
                            {"boot", boot_},     {"protocol", 2},
                            {"whole", !resumes}, {"age_ms", loop_.now() - fleet_.started_at(number_)}}
@@ -474,31 +479,31 @@
     } else {
         for (auto it = sessions_.lower_bound({*director, 0, 0});
              it != sessions_.end() && std::get<0>(it->first) == *director; ++it) {
-            const Session& s = *it->second;
+            const Session& session = *it->second;
             json line{{"event", "plays"},
                       {"boot", boot_},
                       {"session", std::get<1>(it->first)},
                       {"attempt", std::get<2>(it->first)},
-                      {"seq", s.start_seq},
-                      {"sid", s.sid},
-                      {"tenant", s.tenant},
-                      {"class", s.cls},
-                      {"title", s.title},
-                      {"rung", s.rung},
-                      {"paid", s.non_idempotent},
-                      {"media", media_url(s.token)}};
+                      {"seq", session.start_seq},
+                      {"sid", session.sid},
+                      {"tenant", session.tenant},
+                      {"class", session.cls},
+                      {"title", session.title},
+                      {"rung", session.rung},
+                      {"paid", session.non_idempotent},
+                      {"media", media_url(session.token)}};
             if (!renditions_.empty()) line["renditions"] = renditions_json();
             out += line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
         }
     }
     out += json{{"event", "account"}, {"boot", boot_}, {"seq", state.last_seq}}.dump() + "\n";
-    e->write(out);
+    exchange->write(out);
     state.lease_timer.stop();
-    state.event_stream = e;  // one per director: an older stream is dropped, which closes it
-    e->on_disconnect([this, director = *director, raw = e.get()] {
+    state.event_stream = exchange;  // one per director: an older stream is dropped, which closes it
+    exchange->on_disconnect([this, director = *director, raw = exchange.get()] {
         const auto it = directors_.find(director);
         if (it == directors_.end() || it->second.event_stream.get() != raw) return;
-        const http::ExchangePtr keep = std::move(it->second.event_stream);
+        const http::ExchangePtr dropped_stream = std::move(it->second.event_stream);
         it->second.event_stream = nullptr;
         start_lease(director);
     });
@@ -554,49 +559,51 @@
 
 // ---- Media ----
 
-void NodeEmulator::serve_media(const http::ExchangePtr& e, const std::vector<std::string>& parts) {
+void NodeEmulator::serve_media(const http::ExchangePtr& exchange, const std::vector<std::string>& parts) {
     const auto it = keys_by_token_.find(parts[1]);
     if (it == keys_by_token_.end()) {
         // The session was moved or is over: the player has to ask a director again with the same sid.
-        http::Response r = http::text_response(410, "this session is over here; ask the director again");
-        if (moved_tokens_.count(parts[1])) r.headers.add("X-Ivyfield-Moved", "1");
-        http::allow_any_origin(r.headers, kExposedResponseHeaders);
-        return e->respond(r);
+        http::Response response =
+            http::text_response(410, "this session is over here; ask the director again");
+        if (moved_tokens_.count(parts[1])) response.headers.add("X-Ivyfield-Moved", "1");
+        http::allow_any_origin(response.headers, kExposedResponseHeaders);
+        return exchange->respond(response);
     }
     const AttemptKey key = it->second;
-    Session& s = *sessions_.at(key);
-    s.idle_timer = loop_.after(settings_.idle_timeout, [this, key] { end_session(key, "ended"); });
+    Session& session = *sessions_.at(key);
+    session.idle_timer = loop_.after(settings_.idle_timeout, [this, key] { end_session(key, "ended"); });
     const auto rung = parse_number(parts[2]);
     if (!rung || *rung >= settings_.rung_kb.size())
-        return e->respond(http::text_response(404, "no such rung"));
+        return exchange->respond(http::text_response(404, "no such rung"));
     const io::Time now = loop_.now();
     const double share = fleet_.delivered_share(number_, now);
     hints::Keys keys;
-    keys.values["mb"] = static_cast<std::int64_t>(std::llround(rate_kb(s.cls, s.rung) * 8));
-    keys.values["etp"] = static_cast<std::int64_t>(std::llround(rate_kb(s.cls, s.rung) * 8 * share));
+    keys.values["mb"] = static_cast<std::int64_t>(std::llround(rate_kb(session.cls, session.rung) * 8));
+    keys.values["etp"] =
+        static_cast<std::int64_t>(std::llround(rate_kb(session.cls, session.rung) * 8 * share));
     if (share < 0.98) keys.values["du"] = true;
-    http::Response r;
-    http::allow_any_origin(r.headers, kExposedResponseHeaders);
+    http::Response response;
+    http::allow_any_origin(response.headers, kExposedResponseHeaders);
     if (parts[3] == "index.m3u8" && !playlists_.empty()) {
-        r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
-        r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
+        response.headers.add("Content-Type", "application/vnd.apple.mpegurl");
+        response.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
         hls::MediaPlaylist shown = playlists_.at(*rung);
-        if (is_live(s.cls)) shown = hls::live_window(shown, now / 1000, 3);
+        if (is_live(session.cls)) shown = hls::live_window(shown, now / 1000, 3);
         else shown.ended = true;
-        r.body = hls::write_media_playlist(shown);
-        return e->respond(r);
+        response.body = hls::write_media_playlist(shown);
+        return exchange->respond(response);
     }
     if (parts[3] == "index.m3u8") {
         const auto first = static_cast<std::uint64_t>(now / settings_.segment_duration);
-        r.headers.add("Content-Type", "application/vnd.apple.mpegurl");
-        r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
+        response.headers.add("Content-Type", "application/vnd.apple.mpegurl");
+        response.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
         hls::MediaPlaylist list;
         list.version = 6;
         list.media_sequence = first;
         for (std::uint64_t k = first; k < first + 3; ++k)
             list.segments.push_back({settings_.segment_duration / 1000, std::to_string(k) + ".ts", false});
-        r.body = hls::write_media_playlist(list);
-        return e->respond(r);
+        response.body = hls::write_media_playlist(list);
+        return exchange->respond(response);
     }
     io::Time length = settings_.segment_duration;
     const char* type = "video/mp2t";
@@ -604,31 +611,31 @@
         const std::size_t dot = parts[3].find('.');
         if (!parse_number(parts[3].substr(0, dot)) ||
             parts[3].substr(std::min(dot, parts[3].size())) != ".ts")
-            return e->respond(http::text_response(404, "no such segment"));
-        const double bytes =
-            rate_kb(s.cls, static_cast<int>(*rung)) * settings_.segment_duration * settings_.byte_fraction;
-        r.body.assign(static_cast<std::size_t>(std::max(1.0, bytes)), 'x');
+            return exchange->respond(http::text_response(404, "no such segment"));
+        const double bytes = rate_kb(session.cls, static_cast<int>(*rung)) * settings_.segment_duration *
+                             settings_.byte_fraction;
+        response.body.assign(static_cast<std::size_t>(std::max(1.0, bytes)), 'x');
     } else {
         // Serves only files that the playlist names, so that a requested path can't reach other files.
-        const hls::MediaPlaylist& title = playlists_.at(*rung);
-        const auto found = std::find_if(title.segments.begin(), title.segments.end(),
+        const hls::MediaPlaylist& playlist = playlists_.at(*rung);
+        const auto found = std::find_if(playlist.segments.begin(), playlist.segments.end(),
                                         [&](const hls::Segment& one) { return one.uri == parts[3]; });
-        if (found == title.segments.end() && parts[3] != title.map_uri)
-            return e->respond(http::text_response(404, "no such segment"));
+        if (found == playlist.segments.end() && parts[3] != playlist.map_uri)
+            return exchange->respond(http::text_response(404, "no such segment"));
         auto bytes = read_file(settings_.media_folder + "/" + parts[2] + "/" + parts[3]);
-        if (!bytes) return e->respond(http::text_response(404, "no such file in the media folder"));
-        r.body = std::move(*bytes);
-        length = found == title.segments.end() ? 0 : found->duration_s * 1000;
+        if (!bytes) return exchange->respond(http::text_response(404, "no such file in the media folder"));
+        response.body = std::move(*bytes);
+        length = found == playlist.segments.end() ? 0 : found->duration_s * 1000;
         if (!ends_with(parts[3], ".ts")) type = "video/mp4";
     }
-    r.headers.add("Content-Type", type);
+    response.headers.add("Content-Type", type);
     // A short link delays the media: a segment takes its duration divided by the delivered share, and its
     // first byte waits for the time in excess of the duration.
     const io::Time excess = std::min(20000.0, length * (1 / std::max(share, 0.05) - 1));
     keys.values["rd"] = static_cast<std::int64_t>(std::llround(excess));
-    r.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
-    if (excess < 1) return e->respond(r);
-    schedule(excess, [e, r] { e->respond(r); });
+    response.headers.add("CMSD-Dynamic", hints::encode_cmsd_dynamic({{settings_.name, keys}}));
+    if (excess < 1) return exchange->respond(response);
+    schedule(excess, [exchange, response] { exchange->respond(response); });
 }
 
 }  // namespace ivyfield::standins
--- a/src/standins/node.hpp
+++ b/src/standins/node.hpp
@@ -83,9 +83,9 @@
         io::Timer work_timer;
     };
 
-    void handle_request(const http::ExchangePtr& e);
-    void handle_setup(const http::ExchangePtr& e);
-    void complete_setup(const AttemptKey& key, const SocketEvent& from, int rung);
+    void handle_request(const http::ExchangePtr& exchange);
+    void handle_setup(const http::ExchangePtr& exchange);
+    void complete_setup(const AttemptKey& key, const SocketEvent& setup_event, int rung);
     // Event stream and event log of one director's sessions.
     struct DirectorState {
         http::ExchangePtr event_stream;
@@ -95,23 +95,23 @@
         bool was_short_of_rate = false;
         io::Timer lease_timer;
     };
-    void handle_command(const http::ExchangePtr& e, const std::vector<std::string>& parts);
-    void handle_release(const http::ExchangePtr& e, const std::string& director);
+    void handle_command(const http::ExchangePtr& exchange, const std::vector<std::string>& parts);
+    void handle_release(const http::ExchangePtr& exchange, const std::string& director);
     void release_attempt(const AttemptKey& key);
     std::string media_url(const std::string& token) const;
     void start_lease(const std::string& director);
     void schedule(io::Time wait, std::function<void()> task);
-    void serve_media(const http::ExchangePtr& e, const std::vector<std::string>& parts);
+    void serve_media(const http::ExchangePtr& exchange, const std::vector<std::string>& parts);
     void load_media_folder();
     nlohmann::json renditions_json() const;
     bool is_live(const std::string& cls) const;
-    void serve_events(const http::ExchangePtr& e);
+    void serve_events(const http::ExchangePtr& exchange);
     void send_event(const std::string& director, const std::string& line);
     void end_session(const AttemptKey& key, const char* how);
     void send_notes();
     void refresh_load_report();
     double rate_kb(const std::string& cls, int rung) const;
-    void record_event(SocketEvent t);
+    void record_event(SocketEvent event);
 
     io::Loop& loop_;
     fleet::Fleet& fleet_;
--- a/src/standins/player.hpp
+++ b/src/standins/player.hpp
@@ -57,7 +57,7 @@
     http::Request make_request() const;
     void handle_answer(std::uint64_t asked, const http::CallResult& result);
     void handle_answer_timeout();
-    void schedule_return(io::Time least);
+    void schedule_return(io::Time min_wait);
     void start_playback(const std::string& base);
     void fetch_segment();
     void handle_segment(const http::CallResult& result);
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -45,26 +45,26 @@
     // The process has ended; its unanswered requests were checked when their connections closed.
     void forget_connections() {
         accepting_connections_ = sending_ = false;
-        links_.remove_if([](const auto& link) { return !link->stream; });
+        connections_.remove_if([](const auto& connection) { return !connection->stream; });
     }
     std::size_t open_connections() const {
         std::size_t n = 0;
-        for (const auto& link : links_) n += link->stream != nullptr;
+        for (const auto& connection : connections_) n += connection->stream != nullptr;
         return n;
     }
 
   private:
-    struct Link : io::StreamHandler {
+    struct Connection : io::StreamHandler {
         ClientPool& owner;
         std::unique_ptr<io::Stream> stream;
         relay::LineDecoder decoder;
         std::set<RequestId> pending;
         std::uint64_t number = 0;
         std::string first_line;  // a resent request, written once the connection is open
-        bool up = false;
+        bool is_open = false;
         io::Timer next;
-        explicit Link(ClientPool& o) : owner(o) {}
-        void on_open() override { owner.opened(*this); }
+        explicit Connection(ClientPool& pool) : owner(pool) {}
+        void on_open() override { owner.handle_opened(*this); }
         void on_data(std::string_view bytes) override {
             while (!bytes.empty()) {
                 const auto line = decoder.next(bytes);
@@ -74,9 +74,9 @@
         }
         void on_end() override {
             if (stream) stream->end();
-            owner.closed(*this);
+            owner.handle_closed(*this);
         }
-        void on_closed(io::CloseStatus) override { owner.closed(*this); }
+        void on_closed(io::CloseStatus) override { owner.handle_closed(*this); }
     };
 
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -86,34 +86,34 @@
         while (accepting_connections_ && open_connections() < static_cast<std::size_t>(settings_.connections))
             dial("");
     }
-    Link& dial(const std::string& first_line) {
-        links_.remove_if([](const auto& link) { return !link->stream; });
-        links_.push_back(std::make_shared<Link>(*this));
-        Link& link = *links_.back();
-        link.number = ++connection_count_;
-        link.first_line = first_line;
-        link.stream = loop_.dial(director_.address(), kDialTimeout, &link);
-        return link;
+    Connection& dial(const std::string& first_line) {
+        connections_.remove_if([](const auto& connection) { return !connection->stream; });
+        connections_.push_back(std::make_shared<Connection>(*this));
+        Connection& connection = *connections_.back();
+        connection.number = ++connection_count_;
+        connection.first_line = first_line;
+        connection.stream = loop_.dial(director_.address(), kDialTimeout, &connection);
+        return connection;
     }
-    void opened(Link& link) {
-        link.up = true;
-        if (!link.first_line.empty()) link.stream->write(link.first_line);
-        schedule(link);
+    void handle_opened(Connection& connection) {
+        connection.is_open = true;
+        if (!connection.first_line.empty()) connection.stream->write(connection.first_line);
+        schedule(connection);
     }
-    void schedule(Link& link) {
-        link.next = loop_.after(between(settings_.least_gap, settings_.most_gap), [this, &link] {
-            if (!link.stream || !sending_) return;
-            send_set_up(link);
-            schedule(link);
+    void schedule(Connection& connection) {
+        connection.next = loop_.after(between(settings_.least_gap, settings_.most_gap), [this, &connection] {
+            if (!connection.stream || !sending_) return;
+            send_set_up(connection);
+            schedule(connection);
         });
     }
-    std::string line_of(const Request& request) const {
+    std::string make_request_line(const Request& request) const {
         const Time left = std::max<Time>(1, request.sent + request.patience - loop_.now());
         return relaytest::make_setup_line(request.id, request.cls == RequestClass::paid ? "paid" : "free one",
                                           static_cast<int>(left)) +
                "\n";
     }
-    void send_set_up(Link& link) {
+    void send_set_up(Connection& connection) {
         Request request;
         request.id = random_();
         request.cls = chance() < settings_.paid ? RequestClass::paid : RequestClass::repeatable;
@@ -122,37 +122,39 @@
         request.sent = loop_.now();
         request.patience = between(settings_.least_patience, settings_.most_patience);
         ledger_.add(request);
-        link.pending.insert(request.id);
-        link.stream->write(line_of(request));
+        connection.pending.insert(request.id);
+        connection.stream->write(make_request_line(request));
         if (chance() >= settings_.cancels) return;
-        keep(loop_.after(between(1, 60), [this, id = request.id] { cancel(id); }));
+        keep_timer(loop_.after(between(1, 60), [this, id = request.id] { cancel(id); }));
     }
     // Cancels the set-up on its own connection.
     void cancel(RequestId id) {
         Request* request = ledger_.find(id);
         if (!request || request->reply != Reply::none) return;
-        for (const auto& link : links_) {
-            if (!link->stream || !link->pending.erase(id)) continue;
+        for (const auto& connection : connections_) {
+            if (!connection->stream || !connection->pending.erase(id)) continue;
             request->cancelled = loop_.now();
-            ledger_.add_history(id, "cancelled on connection " + std::to_string(link->number), loop_.now());
-            link->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
+            ledger_.add_history(id, "cancelled on connection " + std::to_string(connection->number),
+                                loop_.now());
+            connection->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
             return;
         }
     }
     // Ends an established session, on any connection.
-    void hang_up(RequestId id) {
+    void end_by_client(RequestId id) {
         Request* request = ledger_.find(id);
         if (!request || request->notified) return;
-        for (const auto& link : links_) {
-            if (!link->stream || !link->up) continue;
-            request->hung_up = true;
-            ledger_.add_history(id, "hung up on connection " + std::to_string(link->number), loop_.now());
-            link->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
+        for (const auto& connection : connections_) {
+            if (!connection->stream || !connection->is_open) continue;
+            request->ended_by_client = true;
+            ledger_.add_history(id, "hung up on connection " + std::to_string(connection->number),
+                                loop_.now());
+            connection->stream->write(relaytest::make_release_line(id, relay::kCauseGivenUp) + "\n");
             return;
         }
     }
 
-    void handle_line(Link& link, const std::string& text) {
+    void handle_line(Connection& connection, const std::string& text) {
         const auto read = relay::parse_line(text);
         const auto* message = std::get_if<ViewerMessage>(&read);
         if (!message) return ledger_.fault("a client received what can't be read: " + text);
@@ -162,22 +164,23 @@
         ledger_.add_history(message->session,
                             std::string(relay::name(message->type)) + " " +
                                 std::to_string(message->cause.value_or(0)) + " on connection " +
-                                std::to_string(link.number),
+                                std::to_string(connection.number),
                             loop_.now());
         if (!request)
             return ledger_.fault("a client received a message for a request it never sent: " + text);
         const bool open = request->reply == Reply::none;
         if (message->type == relay::MessageType::answer) {
-            link.pending.erase(message->session);
+            connection.pending.erase(message->session);
             const std::string wanted = "answer to offer " + relay::to_hex(message->session);
             if (message->sdp.value_or("") != wanted) ledger_.lost(*request, "answered wrongly", loop_.now());
             ledger_.replied(message->session, Reply::established, loop_.now());
             if (chance() < settings_.hangs_up)
-                keep(loop_.after(between(20, 600), [this, id = message->session] { hang_up(id); }));
+                keep_timer(
+                    loop_.after(between(20, 600), [this, id = message->session] { end_by_client(id); }));
             return;
         }
         if (message->type == relay::MessageType::release && open) {
-            link.pending.erase(message->session);
+            connection.pending.erase(message->session);
             const bool rejected = message->cause == 34 || message->cause == 42 || message->cause == 102;
             return ledger_.replied(message->session, rejected ? Reply::rejected : Reply::failed, loop_.now());
         }
@@ -185,15 +188,15 @@
     }
 
     // Requests pending on a closed connection either crossed the close or are lost.
-    void closed(Link& link) {
-        if (!link.stream) return;
-        link.next.stop();
-        link.stream->set_handler(nullptr);
-        loop_.post([keep = std::shared_ptr<io::Stream>(std::move(link.stream))] {});
-        const auto pending = std::move(link.pending);
-        link.pending.clear();
+    void handle_closed(Connection& connection) {
+        if (!connection.stream) return;
+        connection.next.stop();
+        connection.stream->set_handler(nullptr);
+        loop_.post([closed_stream = std::shared_ptr<io::Stream>(std::move(connection.stream))] {});
+        const auto pending = std::move(connection.pending);
+        connection.pending.clear();
         // Sending a request again removes closed connections, this one included.
-        const std::uint64_t number = link.number;
+        const std::uint64_t number = connection.number;
         for (const RequestId id : pending) check_unanswered(number, id);
         loop_.post([this] { fill(); });
     }
@@ -214,10 +217,10 @@
         ledger_.add_history(id, "connection " + std::to_string(connection_number) + " closed, sent again",
                             loop_.now());
         request.sent = loop_.now();
-        dial(line_of(request)).pending.insert(id);
+        dial(make_request_line(request)).pending.insert(id);
     }
 
-    void keep(io::Timer timer) {
+    void keep_timer(io::Timer timer) {
         timers_.push_back(std::move(timer));
         if (timers_.size() > kTimersKept) timers_.pop_front();
     }
@@ -231,7 +234,7 @@
     Ledger& ledger_;
     const ClientSettings settings_;
     std::function<Time()> lateness_;
-    std::list<std::shared_ptr<Link>> links_;
+    std::list<std::shared_ptr<Connection>> connections_;
     std::list<io::Timer> timers_;
     std::uint64_t connection_count_ = 0;
     bool accepting_connections_ = false, sending_ = false;
--- a/tests/soak/ledger.hpp
+++ b/tests/soak/ledger.hpp
@@ -45,9 +45,9 @@
     Reply reply = Reply::none;
     Time replied = 0;
     int replies = 0;
-    bool hung_up = false;
-    std::optional<Time> terminated;  // a media node ended the session; its client has to be notified
-    std::optional<Time> told;        // when the node sent its message about that end
+    bool ended_by_client = false;
+    std::optional<Time> terminated;    // a media node ended the session; its client has to be notified
+    std::optional<Time> end_reported;  // when the node sent its message about that end
     std::optional<Time> notified;
     std::optional<Time> over;          // when the process that received it ended
     std::vector<std::string> history;  // with times since the request was sent
@@ -134,7 +134,7 @@
     void close(Time now) {
         for (const auto& [id, request] : requests_) {
             if (request.reply == Reply::none && !request.cancelled) lost(request, "never answered", now);
-            if (request.terminated && !request.notified && !request.hung_up &&
+            if (request.terminated && !request.notified && !request.ended_by_client &&
                 request.reply == Reply::established && request.over.value_or(now) > notify_by(request))
                 lost(request, "its end was never told", now);
         }
@@ -157,7 +157,7 @@
   private:
     // The protocol: within 1 s of the node's release, or within 8 s of the end where none could be sent.
     static Time notify_by(const Request& request) {
-        if (request.told) return *request.told + kNotifyBound + kSlack;
+        if (request.end_reported) return *request.end_reported + kNotifyBound + kSlack;
         return *request.terminated + kUnreportedEndBound;
     }
     void check_forwarded(const Request& request, const std::vector<Attempt>& attempts, Time now) {
--- a/tests/soak/media_node.hpp
+++ b/tests/soak/media_node.hpp
@@ -31,8 +31,8 @@
     MediaNode(io::Loop& loop, std::string name, int directors, std::uint64_t seed, Ledger& ledger)
         : loop_(loop), name_(std::move(name)), random_(seed), ledger_(ledger) {
         for (int k = 0; k < directors; ++k)
-            listeners_.push_back(
-                loop.listen({"127.0.0.1", 0}, [this, k](auto stream) { accepted(std::move(stream), k); }));
+            listeners_.push_back(loop.listen(
+                {"127.0.0.1", 0}, [this, k](auto stream) { handle_accepted(std::move(stream), k); }));
     }
 
     io::Address address(int director) const { return listeners_.at(director)->address(); }
@@ -45,13 +45,13 @@
         // A hang that follows at once continues the previous one: nothing was read in between.
         if (!hanging_ && loop_.now() > hang_ended_ + kCatchUp) hang_began_ = loop_.now();
         hanging_ = true;
-        for (const auto& link : links_)
-            if (link->stream) link->stream->pause();
+        for (const auto& connection : connections_)
+            if (connection->stream) connection->stream->pause();
         hang_timer_ = loop_.after(duration, [this] {
             hanging_ = false;
             hang_ended_ = loop_.now();
-            for (const auto& link : links_)
-                if (link->stream) link->stream->resume();
+            for (const auto& connection : connections_)
+                if (connection->stream) connection->stream->resume();
             const auto waiting = std::move(waiting_);
             waiting_.clear();
             for (const auto& task : waiting) task();
@@ -59,17 +59,17 @@
     }
     // Resets every connection, as a middlebox does; the sessions continue.
     void reset_connections() {
-        for (const auto& link : links_) link->drop();
+        for (const auto& connection : connections_) connection->drop();
     }
 
   private:
-    struct Link : io::StreamHandler {
+    struct Connection : io::StreamHandler {
         MediaNode& owner;
         const int director;
         std::unique_ptr<io::Stream> stream;
         relay::FrameDecoder decoder;
-        std::set<RequestId> open;
-        Link(MediaNode& o, int d) : owner(o), director(d) {}
+        std::set<RequestId> pending;
+        Connection(MediaNode& node, int director_index) : owner(node), director(director_index) {}
         void on_data(std::string_view bytes) override {
             while (stream && !bytes.empty()) {
                 const auto result = decoder.next(bytes);
@@ -87,14 +87,14 @@
         void drop() {
             if (!stream) return;
             stream->set_handler(nullptr);
-            owner.loop_.post([keep = std::shared_ptr<io::Stream>(std::move(stream))] {});
-            for (const RequestId id : open)
+            owner.loop_.post([closed_stream = std::shared_ptr<io::Stream>(std::move(stream))] {});
+            for (const RequestId id : pending)
                 owner.ledger_.attempt_ended(id, owner.name_, AttemptEnd::unknown, owner.loop_.now());
-            open.clear();
+            pending.clear();
         }
     };
     struct Session {
-        std::weak_ptr<Link> link;
+        std::weak_ptr<Connection> connection;
         int director = 0;
         io::Timer life;
     };
@@ -108,22 +108,22 @@
         int director;
     };
 
-    void accepted(std::unique_ptr<io::Stream> stream, int director) {
-        links_.remove_if([](const auto& link) { return !link->stream; });
-        auto link = std::make_shared<Link>(*this, director);
-        link->stream = std::move(stream);
-        link->stream->set_handler(link.get());
-        if (hanging_) link->stream->pause();
-        links_.push_back(link);
+    void handle_accepted(std::unique_ptr<io::Stream> stream, int director) {
+        connections_.remove_if([](const auto& connection) { return !connection->stream; });
+        auto connection = std::make_shared<Connection>(*this, director);
+        connection->stream = std::move(stream);
+        connection->stream->set_handler(connection.get());
+        if (hanging_) connection->stream->pause();
+        connections_.push_back(connection);
         // An end is reported on the next connection too: the one it was reported on may have broken.
         for (auto it = unreported_ends_.begin(); it != unreported_ends_.end();) {
             if (it->director != director) {
                 ++it;
                 continue;
             }
-            send(*link, MessageType::release, it->id, it->cause);
-            if (Request* request = ledger_.find(it->id); request && !request->told)
-                request->told = loop_.now();
+            send(*connection, MessageType::release, it->id, it->cause);
+            if (Request* request = ledger_.find(it->id); request && !request->end_reported)
+                request->end_reported = loop_.now();
             it = unreported_ends_.erase(it);
         }
     }
@@ -131,24 +131,24 @@
         if (hanging_) waiting_.push_back(std::move(task));
         else task();
     }
-    void send(Link& link, MessageType type, RequestId id, int cause = -1,
+    void send(Connection& connection, MessageType type, RequestId id, int cause = -1,
               const std::string& description = "") {
-        if (!link.stream) return;
+        if (!connection.stream) return;
         NodeMessage message;
         message.type = type;
         message.session = id;
         if (cause >= 0) message.cause = cause;
         if (!description.empty())
             message.parameters[static_cast<int>(relay::ParameterCode::sdp)] = description;
-        link.stream->write(relay::encode_frame(message));
+        connection.stream->write(relay::encode_frame(message));
     }
 
-    void handle_message(Link& link, const NodeMessage& message) {
+    void handle_message(Connection& connection, const NodeMessage& message) {
         switch (message.type) {
             case MessageType::setup:
-                return handle_setup(link, message);
+                return handle_setup(connection, message);
             case MessageType::release:
-                return handle_release(link, message.session);
+                return handle_release(connection, message.session);
             case MessageType::move:
                 sessions_.erase(message.session);
                 return;
@@ -158,7 +158,7 @@
                 pong.session = message.session;
                 pong.cause = relay::kPongPassed;
                 pong.parameters[static_cast<int>(relay::ParameterCode::report)] = "inflight:1;x0:0.1;x1:0.1";
-                link.stream->write(relay::encode_frame(pong));
+                connection.stream->write(relay::encode_frame(pong));
                 return;
             }
             default:
@@ -166,85 +166,88 @@
         }
     }
 
-    void handle_release(Link& link, RequestId id) {
-        if (link.open.erase(id)) ledger_.attempt_ended(id, name_, AttemptEnd::unknown, loop_.now());
+    void handle_release(Connection& connection, RequestId id) {
+        if (connection.pending.erase(id)) ledger_.attempt_ended(id, name_, AttemptEnd::unknown, loop_.now());
         sessions_.erase(id);
     }
 
-    void handle_setup(Link& link, const NodeMessage& message) {
+    void handle_setup(Connection& connection, const NodeMessage& message) {
         const RequestId id = message.session;
         const bool read_late = loop_.now() < hang_ended_ + kCatchUp;
         ledger_.received(id, name_, loop_.now(), read_late ? hang_began_ : loop_.now());
-        link.open.insert(id);
+        connection.pending.insert(id);
         const double drawn = chance();
-        const NodeBehaviour& b = behaviour;
-        std::weak_ptr<Link> weak;
-        for (const auto& one : links_)
-            if (one.get() == &link) weak = one;
-        if (drawn < b.silent) return;
-        const Time when = between(b.least_answer, b.most_answer);
+        const NodeBehaviour& params = behaviour;
+        std::weak_ptr<Connection> weak_connection;
+        for (const auto& one : connections_)
+            if (one.get() == &connection) weak_connection = one;
+        if (drawn < params.silent) return;
+        const Time when = between(params.least_answer, params.most_answer);
         const std::string* offer = message.find(relay::ParameterCode::sdp);
         const std::string answer = "answer to " + (offer ? *offer : "nothing");
-        timers_.push_back(loop_.after(when, [this, weak, id, drawn, answer] {
-            run_unless_hung([this, weak, id, drawn, answer] { finish_setup(weak, id, drawn, answer); });
+        timers_.push_back(loop_.after(when, [this, weak_connection, id, drawn, answer] {
+            run_unless_hung([this, weak_connection, id, drawn, answer] {
+                finish_setup(weak_connection, id, drawn, answer);
+            });
         }));
         if (timers_.size() > kTimersKept) timers_.pop_front();
     }
 
-    void finish_setup(const std::weak_ptr<Link>& weak, RequestId id, double drawn,
+    void finish_setup(const std::weak_ptr<Connection>& weak_connection, RequestId id, double drawn,
                       const std::string& answer) {
-        const auto link = weak.lock();
-        if (!link || !link->stream || !link->open.count(id)) return;  // given up
-        const NodeBehaviour& b = behaviour;
-        const double full = b.silent + b.full, error = full + b.error, reset = error + b.reset;
-        if (drawn < full) return reject(*link, id, relay::kCauseFull, AttemptEnd::never_ran);
-        if (drawn < error) return reject(*link, id, relay::kCauseError, AttemptEnd::unknown);
-        if (drawn < reset) return link->drop();
-        link->open.erase(id);
+        const auto connection = weak_connection.lock();
+        if (!connection || !connection->stream || !connection->pending.count(id)) return;  // given up
+        const NodeBehaviour& params = behaviour;
+        const double full = params.silent + params.full, error = full + params.error,
+                     reset = error + params.reset;
+        if (drawn < full) return reject(*connection, id, relay::kCauseFull, AttemptEnd::never_ran);
+        if (drawn < error) return reject(*connection, id, relay::kCauseError, AttemptEnd::unknown);
+        if (drawn < reset) return connection->drop();
+        connection->pending.erase(id);
         ledger_.attempt_ended(id, name_, AttemptEnd::answered, loop_.now());
-        send(*link, MessageType::answer, id, -1, answer);
+        send(*connection, MessageType::answer, id, -1, answer);
         const double life = chance();
         auto& session = sessions_[id];
-        session.link = weak;
-        session.director = link->director;
-        if (life < b.ends_at_once) return end(id, relay::kCauseGivenUp);
-        const bool leaves = life < b.ends_at_once + b.client_leaves_soon;
-        session.life =
-            loop_.after(leaves ? between(0, 3) : between(b.least_life, b.most_life), [this, id, leaves] {
+        session.connection = weak_connection;
+        session.director = connection->director;
+        if (life < params.ends_at_once) return end(id, relay::kCauseGivenUp);
+        const bool leaves = life < params.ends_at_once + params.client_leaves_soon;
+        session.life = loop_.after(
+            leaves ? between(0, 3) : between(params.least_life, params.most_life), [this, id, leaves] {
                 const int cause = leaves ? relay::kCauseCancelled : relay::kCauseGivenUp;
                 run_unless_hung([this, id, cause] { end(id, cause); });
             });
     }
-    void reject(Link& link, RequestId id, int cause, AttemptEnd how) {
-        link.open.erase(id);
+    void reject(Connection& connection, RequestId id, int cause, AttemptEnd how) {
+        connection.pending.erase(id);
         ledger_.attempt_ended(id, name_, how, loop_.now());
-        send(link, MessageType::release, id, cause);
+        send(connection, MessageType::release, id, cause);
     }
 
     // Ends the session and reports it on the connection of its set-up, else on any, else on the next one.
     void end(RequestId id, int cause) {
         const auto it = sessions_.find(id);
         if (it == sessions_.end()) return;
-        auto link = it->second.link.lock();
-        const auto gone = std::move(it->second);
+        auto connection = it->second.connection.lock();
+        const auto ended_session = std::move(it->second);
         sessions_.erase(it);
         if (Request* request = ledger_.find(id); request && cause != relay::kCauseCancelled)
             request->terminated = loop_.now();
-        const bool own = link && link->stream;
-        if (!own) {
-            link = nullptr;
-            for (const auto& one : links_)
-                if (one->stream && one->director == gone.director) link = one;
+        const bool on_own_connection = connection && connection->stream;
+        if (!on_own_connection) {
+            connection = nullptr;
+            for (const auto& one : connections_)
+                if (one->stream && one->director == ended_session.director) connection = one;
         }
         ledger_.add_history(id,
                             "ended at " + name_ + " with " + std::to_string(cause) +
-                                (own    ? ""
-                                 : link ? ", told on another connection"
-                                        : ", to be told on the next"),
+                                (on_own_connection ? ""
+                                 : connection      ? ", told on another connection"
+                                                   : ", to be told on the next"),
                             loop_.now());
-        if (Request* request = ledger_.find(id); request && link) request->told = loop_.now();
-        if (link) send(*link, MessageType::release, id, cause);
-        unreported_ends_.push_back({id, cause, gone.director});
+        if (Request* request = ledger_.find(id); request && connection) request->end_reported = loop_.now();
+        if (connection) send(*connection, MessageType::release, id, cause);
+        unreported_ends_.push_back({id, cause, ended_session.director});
     }
 
     static constexpr Time kCatchUp = 50;  // after a hang, until everything that arrived in it has been read
@@ -255,7 +258,7 @@
     std::mt19937_64 random_;
     Ledger& ledger_;
     std::vector<std::unique_ptr<io::Listener>> listeners_;  // by director
-    std::list<std::shared_ptr<Link>> links_;
+    std::list<std::shared_ptr<Connection>> connections_;
     std::map<RequestId, Session> sessions_;
     std::vector<UnreportedEnd> unreported_ends_;  // reported on the next connection
     std::list<io::Timer> timers_;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -39,10 +39,10 @@
         for (int k = 0; k < scenario.directors; ++k) {
             slots_.emplace_back();
             DirectorSlot& slot = slots_.back();
-            for (const auto& node : nodes_) slot.listed.push_back({node->name(), node->address(k)});
+            for (const auto& node : nodes_) slot.listed_nodes.push_back({node->name(), node->address(k)});
             for (int n = 0; n < 2; ++n)
                 slot.names.push_back(std::make_unique<relaytest::NameServer>(
-                    loop_, io::Address{"127.0.0.1", 0}, 3, slot.listed));
+                    loop_, io::Address{"127.0.0.1", 0}, 3, slot.listed_nodes));
             slot.director = std::make_unique<DirectorProcess>(loop_, k, folder_, free_address(), ledger_);
             ClientSettings settings;
             if (scenario.crowd && k == 0) settings.connections = 40;
@@ -60,7 +60,7 @@
     void run() {
         measure_lateness();
         for (DirectorSlot& slot : slots_) start(slot);
-        keep(loop_.after(scenario_.length, [this] { wind_down(); }));
+        keep_timer(loop_.after(scenario_.length, [this] { wind_down(); }));
         for (DirectorSlot& slot : slots_) plan_signals(slot);
         plan_node_faults();
         loop_.run();
@@ -81,7 +81,8 @@
     struct DirectorSlot {
         std::unique_ptr<DirectorProcess> director;
         std::unique_ptr<ClientPool> clients;
-        std::vector<relaytest::ListedNode> listed;  // the media nodes, at their addresses for this director
+        std::vector<relaytest::ListedNode>
+            listed_nodes;  // the media nodes, at their addresses for this director
         std::vector<std::unique_ptr<relaytest::NameServer>> names;
         std::size_t asked_names = 0;  // index of the name server in its configuration
         io::Timer watch, ready;
@@ -92,8 +93,8 @@
 
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
     Time between(Time least, Time most) { return std::uniform_real_distribution<Time>(least, most)(random_); }
-    void keep(io::Timer timer) { timers_.push_back(std::move(timer)); }
-    void later(Time delay, io::Loop::Task task) { keep(loop_.after(delay, std::move(task))); }
+    void keep_timer(io::Timer timer) { timers_.push_back(std::move(timer)); }
+    void later(Time delay, io::Loop::Task task) { keep_timer(loop_.after(delay, std::move(task))); }
     // Below the range of ephemeral ports, so that a free port stays free while its director is down.
     io::Address free_address() {
         for (;;) {
@@ -109,7 +110,7 @@
     }
     static std::string config(const DirectorSlot& slot) {
         std::string text = relaytest::make_director_config(
-            slot.listed, slot.names[slot.asked_names]->socket->address().text());
+            slot.listed_nodes, slot.names[slot.asked_names]->socket->address().text());
         // Capacity for more sessions than the other tests need.
         const auto set = [&](const std::string& from, const std::string& to) {
             text.replace(text.find(from), from.size(), to);
