--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -49,39 +49,40 @@
     explicit Fleet(FleetSpec spec) : spec_(std::move(spec)) {}
     // Throws std::invalid_argument if the rack does not exist.
     int add_node(const NodeSpec& spec);
-    const NodeSpec& node_spec(int n) const { return nodes_.at(static_cast<std::size_t>(n)).spec; }
+    const NodeSpec& node_spec(int number) const { return nodes_.at(static_cast<std::size_t>(number)).spec; }
 
     // Starts the node's process with no streams. It is cold unless `warm`, which means it has run for long.
-    void start_node(int n, Time now, bool warm);
-    void stop_node(int n);
-    bool is_up(int n) const { return node_state(n).up; }
-    bool is_overloaded(int n) const { return node_state(n).overloaded; }
-    Time started_at(int n) const { return node_state(n).started; }
+    void start_node(int number, Time now, bool warm);
+    void stop_node(int number);
+    bool is_up(int number) const { return node_state(number).up; }
+    bool is_overloaded(int number) const { return node_state(number).overloaded; }
+    Time started_at(int number) const { return node_state(number).started; }
     // Share of its full capacity that the node has now; below 1 while it is cold.
-    double warmth(int n, Time now) const;
+    double warmth(int number, Time now) const;
 
     // Handles the arrival of a set-up. accepted: a stream slot is reserved until start_stream() or
     // cancel_setup(). overloaded: it was one too many for a cold node, which has crashed.
-    SetupResult begin_setup(int n, Time now);
-    void cancel_setup(int n);  // releases the slot of a set-up that failed
+    SetupResult begin_setup(int number, Time now);
+    void cancel_setup(int number);  // releases the slot of a set-up that failed
     // Turns a pending set-up into a stream and returns the stream's id.
-    std::uint64_t start_stream(int n, const StreamSpec& stream);
-    void set_rung(int n, std::uint64_t stream, int rung, double kb);
-    void end_stream(int n, std::uint64_t stream);
+    std::uint64_t start_stream(int number, const StreamSpec& stream);
+    void set_rung(int number, std::uint64_t stream, int rung, double kb);
+    void end_stream(int number, std::uint64_t stream);
 
     // Injected faults: the link keeps only this part of its capacity; other traffic on a link or uplink
     // requests `kb` of it.
-    void set_link_factor(int n, double factor) { node_state(n).link_factor = factor; }
-    void set_link_background(int n, double kb) { node_state(n).background_kb = kb; }
+    void set_link_factor(int number, double factor) { node_state(number).link_factor = factor; }
+    void set_link_background(int number, double kb) { node_state(number).background_kb = kb; }
     void set_uplink_background(int rack, double kb) { uplink_background_[rack] = kb; }
 
-    double link_capacity(int n) const;               // current capacity
-    double requested_kb(int n) const;                // rate requested of its link
-    double link_utilization(int n, Time now) const;  // requested over capacity, which is lower while cold
+    double link_capacity(int number) const;  // current capacity
+    double requested_kb(int number) const;   // rate requested of its link
+    double link_utilization(int number,
+                            Time now) const;  // requested over capacity, which is lower while cold
     double uplink_utilization(int rack, Time now) const;
-    double delivered_share(int n, Time now) const;  // part of its rate that each session gets
-    int stream_count(int n) const;
-    std::size_t session_count(int n) const { return node_state(n).streams.size(); }
+    double delivered_share(int number, Time now) const;  // part of its rate that each session gets
+    int stream_count(int number) const;
+    std::size_t session_count(int number) const { return node_state(number).streams.size(); }
     int rack_count() const { return static_cast<int>(spec_.rack_kb.size()); }
 
   private:
@@ -94,8 +95,8 @@
         std::map<std::uint64_t, StreamSpec> streams;
         std::deque<Time> recent_setups;  // times of set-ups that arrived while the node was cold
     };
-    NodeState& node_state(int n) { return nodes_.at(static_cast<std::size_t>(n)); }
-    const NodeState& node_state(int n) const { return nodes_.at(static_cast<std::size_t>(n)); }
+    NodeState& node_state(int number) { return nodes_.at(static_cast<std::size_t>(number)); }
+    const NodeState& node_state(int number) const { return nodes_.at(static_cast<std::size_t>(number)); }
 
     FleetSpec spec_;
     std::vector<NodeState> nodes_;
--- a/src/standins/list.hpp
+++ b/src/standins/list.hpp
@@ -25,7 +25,7 @@
     ServerListEmulator(io::Loop& loop, const io::Address& listen, std::string service, EventSink event_sink);
     io::Address address() const { return server_.address(); }
     // Adds or replaces an entry; as with remove_server(), answers change after the update delay.
-    void set_server(const ListedServer& one);
+    void set_server(const ListedServer& server);
     void remove_server(const std::string& id);
     void set_update_delay(io::Time delay) { update_delay_ = delay; }
     void set_hung(bool on) { on ? server_.pause() : server_.resume(); }
--- a/tests/day/rogue_test.cpp
+++ b/tests/day/rogue_test.cpp
@@ -25,6 +25,7 @@
     exceeds_retry_budget
 };
 
+// A minimal director with one deliberate defect, on the HTTP interface and the node protocol.
 class FaultyDirector {
   public:
     FaultyDirector(io::Loop& loop, const config::Config& config, Defect defect)
@@ -65,88 +66,91 @@
         int attempt = 0;
         bool paid = false, answered = false;
     };
-    void serve(const http::ExchangePtr& e) {
-        const std::string path(e->request().path());
+    void serve(const http::ExchangePtr& exchange) {
+        const std::string path(exchange->request().path());
         const auto part = [&path](int n) {
             std::size_t at = 0;
             for (int k = 0; k < n; ++k) at = path.find('/', at) + 1;
             return path.substr(at, path.find('/', at) - at);
         };
-        auto s = std::make_shared<Session>();
-        s->player = e;
-        s->cls = part(4), s->title = part(5);
-        s->sid = part(3) + std::to_string(++last_session_);
-        if (const auto cmcd = http::query_argument(e->request().query(), "CMCD")) {
+        auto session = std::make_shared<Session>();
+        session->player = exchange;
+        session->cls = part(4), session->title = part(5);
+        session->sid = part(3) + std::to_string(++last_session_);
+        if (const auto cmcd = http::query_argument(exchange->request().query(), "CMCD")) {
             const auto keys = hints::decode_keys(hints::Vocabulary::cmcd, *cmcd).keys;
-            s->sid = keys.text("sid").value_or(s->sid);
+            session->sid = keys.text("sid").value_or(session->sid);
         }
-        s->id = last_session_;
+        session->id = last_session_;
         for (const auto& c : config_.settings.classes)
-            if (c.name == s->cls) s->paid = c.idempotency == Idempotency::non_idempotent;
+            if (c.name == session->cls) session->paid = c.idempotency == Idempotency::non_idempotent;
         if (defect_ == Defect::never_answers && last_session_ % 5 == 0) {
-            unanswered_.push_back(e);
+            unanswered_.push_back(exchange);
             return;
         }
-        send(s);
+        send(session);
     }
     // The least used ready node; the director that overloads a cold node sends everything to it.
-    std::string choose(const Session& s) {
+    std::string choose(const Session& session) {
         if (!cold_node_.empty()) return cold_node_;
         std::string best;
         for (const auto& [id, node] : nodes_)
-            if (node.ready && id != s.first && (best.empty() || node.streams < nodes_[best].streams))
+            if (node.ready && id != session.first && (best.empty() || node.streams < nodes_[best].streams))
                 best = id;
         return best;
     }
-    void send(const std::shared_ptr<Session>& s) {
-        const std::string node = choose(*s);
-        if (node.empty()) return answer(s, 503, "");
+    void send(const std::shared_ptr<Session>& session) {
+        const std::string node = choose(*session);
+        if (node.empty()) return answer(session, 503, "");
         nodes_[node].streams += 1;
-        if (s->attempt == 0) s->first = node;
+        if (session->attempt == 0) session->first = node;
         int rung = 1;
-        for (const auto& c : config_.settings.classes)
-            if (c.name == s->cls) {
-                rung = defect_ == Defect::below_min_rung ? 0 : std::max(c.min_rung, 0);
-                auto& held = session_counts_[s->cls + "/" + s->title];
-                if (c.seats > 0 && defect_ != Defect::exceeds_seats && held >= c.seats)
-                    return answer(s, 503, "");
-                held += 1;
+        for (const auto& rules : config_.settings.classes)
+            if (rules.name == session->cls) {
+                rung = defect_ == Defect::below_min_rung ? 0 : std::max(rules.min_rung, 0);
+                auto& session_count = session_counts_[session->cls + "/" + session->title];
+                if (rules.seats > 0 && defect_ != Defect::exceeds_seats && session_count >= rules.seats)
+                    return answer(session, 503, "");
+                session_count += 1;
             }
-        const int attempt = s->attempt++;
-        http::Request r;
-        r.method = "POST", r.target = "/v1/sessions";
-        r.body = json{{"protocol", 2},  {"director", config_.name}, {"session", s->id},  {"attempt", attempt},
-                      {"sid", s->sid},  {"class", s->cls},          {"title", s->title}, {"rung", rung},
-                      {"paid", s->paid}}
-                     .dump();
+        const int attempt = session->attempt++;
+        http::Request request;
+        request.method = "POST", request.target = "/v1/sessions";
+        request.body = json{{"protocol", 2},           {"director", config_.name},
+                            {"session", session->id},  {"attempt", attempt},
+                            {"sid", session->sid},     {"class", session->cls},
+                            {"title", session->title}, {"rung", rung},
+                            {"paid", session->paid}}
+                           .dump();
         const std::uint64_t call = ++last_call_;
         http::CallOptions options;
         options.timeout = 3000;
-        calls_[call] =
-            client_.send(nodes_[node].address, r, options, [this, s, call](const http::CallResult& c) {
-                const std::shared_ptr<http::Call> keep(std::move(calls_[call]));
+        calls_[call] = client_.send(
+            nodes_[node].address, request, options, [this, session, call](const http::CallResult& result) {
+                const std::shared_ptr<http::Call> finished_call(std::move(calls_[call]));
                 calls_.erase(call);
-                if (s->answered) return;
-                if (c.outcome == http::CallOutcome::response && c.response.status == 200)
-                    return answer(s, 200, json::parse(c.response.body)["media"]);
-                const bool again = (defect_ == Defect::retries_non_idempotent && s->paid) ||
-                                   (defect_ == Defect::exceeds_retry_budget && !s->paid);
-                if (again && s->attempt < 4) return send(s);
-                answer(s, 504, "");
+                if (session->answered) return;
+                if (result.outcome == http::CallOutcome::response && result.response.status == 200)
+                    return answer(session, 200, json::parse(result.response.body)["media"]);
+                const bool retries = (defect_ == Defect::retries_non_idempotent && session->paid) ||
+                                     (defect_ == Defect::exceeds_retry_budget && !session->paid);
+                if (retries && session->attempt < 4) return send(session);
+                answer(session, 504, "");
             });
         if (defect_ == Defect::parallel_attempts && attempt == 0) {
-            timers_.push_back(loop_.after(5, [this, s] {
-                if (!s->answered) send(s);
+            timers_.push_back(loop_.after(5, [this, session] {
+                if (!session->answered) send(session);
             }));
         }
     }
-    void answer(const std::shared_ptr<Session>& s, int status, const std::string& media) {
-        if (s->answered) return;
-        s->answered = true;
-        http::Response r;
-        r.status = status;
-        if (status == 200) r.body = "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n" + media + "0/index.m3u8\n";
-        s->player->respond(r);
+    void answer(const std::shared_ptr<Session>& session, int status, const std::string& media) {
+        if (session->answered) return;
+        session->answered = true;
+        http::Response response;
+        response.status = status;
+        if (status == 200)
+            response.body = "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n" + media + "0/index.m3u8\n";
+        session->player->respond(response);
     }
 
     io::Loop& loop_;
@@ -164,17 +168,18 @@
     discovery::ConsulClient consul_;
 };
 
+// Runs faulty directors on loops of a simulated world.
 struct FaultyDirectorHost : day::DirectorHost {
     io::World& world;
     Defect defect;
     std::map<int, std::unique_ptr<FaultyDirector>> directors;
     FaultyDirectorHost(io::World& w, Defect s) : world(w), defect(s) {}
-    io::Address reserve_address(int n) override {
-        return {"127.0.0.1", static_cast<std::uint16_t>(8001 + n)};
+    io::Address reserve_address(int number) override {
+        return {"127.0.0.1", static_cast<std::uint16_t>(8001 + number)};
     }
-    void start(int n, const std::string& text) override {
-        directors[n] = std::make_unique<FaultyDirector>(world.start("d" + std::to_string(n)),
-                                                        config::load(text).config, defect);
+    void start(int number, const std::string& text) override {
+        directors[number] = std::make_unique<FaultyDirector>(world.start("d" + std::to_string(number)),
+                                                             config::load(text).config, defect);
     }
     void kill(int) override {}
     void set_stalled(int, bool) override {}
@@ -182,6 +187,8 @@
     io::Time timing_tolerance() const override { return 5; }
 };
 
+// Runs a short scenario with a director that has the defect and returns the rules that the audit reports as
+// broken.
 std::vector<int> find_broken_rules(Defect defect) {
     json doc = json::parse(config::read_file(IVYFIELD_SOURCE_DIR "/examples/days/quiet.json"));
     doc["directors"] = 1;
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -15,6 +15,7 @@
 
 using relay::ViewerMessage;
 
+// Number of connections, and times and probabilities of what clients do.
 struct ClientSettings {
     int connections = 6;
     Time least_gap = 2, most_gap = 30;  // between two set-ups of one connection
@@ -22,6 +23,7 @@
     double paid = 0.5, cancels = 0.05, hangs_up = 0.2;
 };
 
+// All clients of one director, on a pool of connections.
 class ClientPool {
   public:
     ClientPool(io::Loop& loop, DirectorProcess& director, std::uint64_t seed, Ledger& ledger,
@@ -54,6 +56,7 @@
     }
 
   private:
+    // One connection to the director; `pending` has the requests sent on it and not answered.
     struct Connection : io::StreamHandler {
         ClientPool& owner;
         std::unique_ptr<io::Stream> stream;
--- a/tests/soak/director.hpp
+++ b/tests/soak/director.hpp
@@ -17,6 +17,7 @@
 // 0.7 s.
 constexpr Time kKillAfterTerm = 3000 + 700;
 
+// One director and its restarts; each start() begins a new incarnation. Unexpected ends go to the ledger.
 class DirectorProcess {
   public:
     DirectorProcess(io::Loop& loop, int index, std::string folder, io::Address address, Ledger& ledger)
--- a/tests/soak/media_node.hpp
+++ b/tests/soak/media_node.hpp
@@ -24,6 +24,7 @@
     Time least_life = 30, most_life = 2500;
 };
 
+// One emulated media node, to which all directors connect. It records attempts and ends in the ledger.
 class MediaNode {
   public:
     // Each director gets an address of its own, so that the node knows which director a connection belongs
@@ -63,6 +64,7 @@
     }
 
   private:
+    // A connection of one director; `pending` has the set-ups received on it and not answered.
     struct Connection : io::StreamHandler {
         MediaNode& owner;
         const int director;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -17,6 +17,7 @@
 namespace ivyfield::soak {
 namespace {
 
+// Parameters of one run.
 struct Scenario {
     std::uint64_t seed = 1;
     int directors = 3;
@@ -25,6 +26,7 @@
     Time length = 5000;  // then no more requests, and all pending ones have to end
 };
 
+// The directors, their clients and name servers and the media nodes of one run, with its signals and faults.
 class Fleet {
   public:
     explicit Fleet(const Scenario& scenario)
@@ -279,7 +281,7 @@
     Time lateness_ = 0, max_lateness_ = 0;
     int next_port_ = 0;
     int terms_ = 0, kills_ = 0;
-    bool winding_down_ = false, all_terminated_ = false;  // to leave, at the end
+    bool winding_down_ = false, all_terminated_ = false;  // stages of the end of the run
 };
 
 std::vector<std::uint64_t> seeds() {
